--- a/benchmarks/capacity_claims.py
+++ b/benchmarks/capacity_claims.py
@@ -39,12 +39,12 @@
     def flush(self) -> int:
         """Append and read all that waits; return the bytes appended."""
         written_bytes = 0
-        while appends := self.coordinator.append_due(self.now_s):
+        while appends := self.coordinator.pop_due_appends(self.now_s):
             for append in appends:
                 offset = self.coordinator.next_offset(0)
                 written_bytes += len(append.payload)
                 self._read((LogRecord(offset, self.now_s, append.payload),))
-                self.coordinator.append_ended(
+                self.coordinator.record_append_outcome(
                     append.append_id, Appended(offset), self.now_s
                 )
         return written_bytes
@@ -83,9 +83,9 @@
         )
     claim_bytes = stream.flush()
     for key in keys:
-        if not holder.may_dispatch(key, now_s):
+        if not holder.authorize_dispatch(key, now_s):
             raise ValueError(f"claim of {key} did not win")
-        holder.finish_result(key, answer, now_s)
+        holder.finish_with_result(key, answer, now_s)
     result_bytes = stream.flush()
     holder_s = time.perf_counter() - started_s
     pages = tuple(stream.pages)
--- a/benchmarks/claims_fold.py
+++ b/benchmarks/claims_fold.py
@@ -7,7 +7,7 @@
 
 from absl import app, flags
 from baobabring.claims import ClaimSettings, ClaimWon, create_claim_coordinator
-from baobabring.claims._answers import result_of
+from baobabring.claims._answers import create_result_record
 from baobabring.claims._records import (
     Claim,
     Record,
@@ -66,7 +66,9 @@
 def make_result(rng: random.Random, claim: Claim, limit_bytes: int) -> Record:
     """Return the result of a claim."""
     answer = make_answer(rng)
-    return result_of(answer, claim.claim_id, claim.service_id, claim.key, limit_bytes)
+    return create_result_record(
+        answer, claim.claim_id, claim.service_id, claim.key, limit_bytes
+    )
 
 
 def make_page(records: list[Record], records_per_batch: int) -> Page:
@@ -161,7 +163,7 @@
             self._at(next_s, "arrive", None)
 
     def _append(self, now_s: float) -> None:
-        for append in self.claims.append_due(now_s):
+        for append in self.claims.pop_due_appends(now_s):
             self.appends += 1
             self._at(now_s + _APPEND_S, "land", append)
         next_s = self.claims.next_append_at_s(now_s)
@@ -180,7 +182,9 @@
     def _land(self, now_s: float, append) -> None:
         stream = self.streams[append.partition]
         stream.append(LogRecord(len(stream), now_s, append.payload))
-        self.claims.append_ended(append.append_id, Appended(len(stream) - 1), now_s)
+        self.claims.record_append_outcome(
+            append.append_id, Appended(len(stream) - 1), now_s
+        )
         self._read(append.partition, now_s)
 
     def _read(self, partition: int, now_s: float) -> None:
@@ -193,7 +197,7 @@
                 self._at(now_s + _SERVICE_S, "answer", event.call_id)
 
     def _answer(self, now_s: float, call_id: str) -> None:
-        self.claims.finish_result(call_id, make_answer(self.rng), now_s)
+        self.claims.finish_with_result(call_id, make_answer(self.rng), now_s)
 
 
 def report_batching(claims_per_s: float, partitions: int) -> None:
--- a/packages/baobabring/baobabring/calls/_claiming.py
+++ b/packages/baobabring/baobabring/calls/_claiming.py
@@ -50,8 +50,8 @@
     if not state.claimed:
         claims.cancel(call_id, now_s)
     elif isinstance(outcome, Completed):
-        claims.finish_result(call_id, outcome.answer, now_s)
+        claims.finish_with_result(call_id, outcome.answer, now_s)
     elif isinstance(outcome, NotRun):
-        claims.finish_release(call_id, now_s)
+        claims.finish_as_not_run(call_id, now_s)
     else:
-        claims.finish_undetermined(call_id, now_s)
+        claims.finish_as_undetermined(call_id, now_s)
--- a/packages/baobabring/baobabring/calls/_engine.py
+++ b/packages/baobabring/baobabring/calls/_engine.py
@@ -260,7 +260,7 @@
         if not self._may_start_work:
             self._refuse(state, Reason.NOT_CONFIRMED, now_s)
             return True
-        if state.claimed and not self.claims.may_dispatch(call.call_id, now_s):
+        if state.claimed and not self.claims.authorize_dispatch(call.call_id, now_s):
             self._refuse(state, Reason.DEADLINE, now_s)
             return True
         target_id = self.balancer.choose(call.service_id, now_s, state.excluded)
--- a/packages/baobabring/baobabring/calls/tests/fakes.py
+++ b/packages/baobabring/baobabring/calls/tests/fakes.py
@@ -48,19 +48,19 @@
         """Let the call wait."""
         return ClaimPending(call_id)
 
-    def may_dispatch(self, call_id: str, now_s: float) -> bool:
+    def authorize_dispatch(self, call_id: str, now_s: float) -> bool:
         """Return what the test has set."""
         return self.dispatch_allowed
 
-    def finish_result(self, call_id: str, answer: Answer, now_s: float) -> None:
+    def finish_with_result(self, call_id: str, answer: Answer, now_s: float) -> None:
         """Note a result."""
         self.ended[call_id] = "result"
 
-    def finish_release(self, call_id: str, now_s: float) -> None:
+    def finish_as_not_run(self, call_id: str, now_s: float) -> None:
         """Note a release."""
         self.ended[call_id] = "release"
 
-    def finish_undetermined(self, call_id: str, now_s: float) -> None:
+    def finish_as_undetermined(self, call_id: str, now_s: float) -> None:
         """Note an unknown outcome."""
         self.ended[call_id] = "undetermined"
 
--- a/packages/baobabring/baobabring/claims/__init__.py
+++ b/packages/baobabring/baobabring/claims/__init__.py
@@ -1,4 +1,4 @@
-"""At-most-once claims on idempotency keys."""
+"""Claims on idempotency keys, which let a request run at most once."""
 
 from baobabring.claims._answers import KeptAnswer
 from baobabring.claims._batcher import AppendRequest
@@ -14,17 +14,17 @@
     NotSettleable,
     NotSettleableReason,
     RequestReply,
+    SettlementRequested,
     SettlementState,
-    SettleRequested,
     UnknownOutcome,
 )
 from baobabring.claims._keys import (
     IdempotencyKey,
     InvalidKey,
     KeyProblem,
+    compute_partition,
+    get_stream_name,
     parse_key,
-    partition_of,
-    stream_of,
 )
 from baobabring.claims._records import Settlement
 from baobabring.claims._settings import ClaimSettings
@@ -49,10 +49,10 @@
     "RequestReply",
     "Settlement",
     "SettlementState",
-    "SettleRequested",
+    "SettlementRequested",
     "UnknownOutcome",
     "create_claim_coordinator",
     "parse_key",
-    "partition_of",
-    "stream_of",
+    "compute_partition",
+    "get_stream_name",
 ]
--- a/packages/baobabring/baobabring/claims/_answers.py
+++ b/packages/baobabring/baobabring/claims/_answers.py
@@ -1,4 +1,4 @@
-"""Answers as they are kept for callers who repeat a request."""
+"""Stored answers for callers who repeat a request."""
 
 import hashlib
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeptAnswer:
-    """Hold an answer read back; body is None when only its digest was kept."""
+    """Represent a stored answer; body is None if only its digest was stored."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -19,11 +19,11 @@
     body_digest: bytes | None
 
 
-def result_of(
+def create_result_record(
     answer: Answer, claim_id: bytes, service_id: str, key: str, limit_bytes: int
 ) -> Result:
-    """Return the record that keeps an answer, whole only within the limit."""
-    if answer_bytes(answer) <= limit_bytes:
+    """Return the record of an answer; above the limit, without headers and body."""
+    if get_answer_size_bytes(answer) <= limit_bytes:
         return Result(
             claim_id,
             service_id,
@@ -37,12 +37,12 @@
     return Result(claim_id, service_id, key, answer.status, (), None, digest)
 
 
-def answer_bytes(answer: Answer) -> int:
-    """Return the bytes of an answer's headers and body."""
+def get_answer_size_bytes(answer: Answer) -> int:
+    """Return the size of an answer's headers and body in bytes."""
     header_bytes = sum(len(name) + len(value) for name, value in answer.headers)
     return header_bytes + len(answer.body)
 
 
-def kept_answer_of(result: Result) -> KeptAnswer:
-    """Return the answer that a record keeps."""
+def create_kept_answer(result: Result) -> KeptAnswer:
+    """Return the answer stored in a record."""
     return KeptAnswer(result.status, result.headers, result.body, result.body_digest)
--- a/packages/baobabring/baobabring/claims/_batcher.py
+++ b/packages/baobabring/baobabring/claims/_batcher.py
@@ -1,4 +1,4 @@
-"""Batches of records on their way to one partition's stream."""
+"""Batching of records for the log stream of one partition."""
 
 import random
 from collections import deque
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendRequest:
-    """Ask for one append to the stream of a partition."""
+    """Represent an append that the caller must make to a partition's stream."""
 
     append_id: bytes
     partition: int
@@ -27,10 +27,10 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Item:
+class _QueuedRecord:
     encoded: bytes
     queued_at_s: float
-    drop_at_s: float
+    obsolete_after_s: float
     claim_id: bytes | None
     withdrawn: bool = False
     in_flight: bool = False
@@ -40,21 +40,21 @@
 @dataclass(slots=True)
 class _Batch:
     batch_id: bytes
-    items: list[_Item] = field(default_factory=list)
+    items: list[_QueuedRecord] = field(default_factory=list)
     size_bytes: int = 0
     unconfirmed_at_s: float | None = None
-    folded: bool = False
+    was_read: bool = False
 
 
 class PartitionBatcher:
-    """Gather records of one partition; keep one append of them on its way.
+    """Queue the records of one partition; append them with one batch in flight.
 
     Parameters
     ----------
     partition : int
-        Partition whose stream gets the batches.
+        Partition to whose stream the batches are appended.
     settings : ClaimSettings
-        Limit of a batch and the ages after which records are of no use.
+        Size limit of a batch and the age after which records are obsolete.
     rng : random.Random
         Source of batch identifiers; must differ between processes.
     """
@@ -66,25 +66,26 @@
         self.settings = settings
         self.refused_until_s = float("-inf")
         self._rng = rng
-        self._queue: deque[_Item] = deque()
+        self._queue: deque[_QueuedRecord] = deque()
         self._batch: _Batch | None = None
-        self._claims: dict[bytes, _Item] = {}
+        self._records_by_claim_id: dict[bytes, _QueuedRecord] = {}
 
     @property
     def idle(self) -> bool:
-        """Tell that nothing waits and nothing is on its way."""
+        """Return whether no record is queued and no batch is in flight."""
         return self._batch is None and not self._queue
 
     @property
-    def oldest_at_s(self) -> float:
-        """Return since when the oldest record waits; inf if none does."""
+    def oldest_queued_at_s(self) -> float:
+        """Return the time at which the oldest record was queued, inf if none is."""
         return self._queue[0].queued_at_s if self._queue else float("inf")
 
     @property
     def ready_at_s(self) -> float:
-        """Return when a batch may be appended, inf if none waits or one is under way.
+        """Return when a batch may be appended, inf if no record can be.
 
-        Time before now means now.
+        No record can be appended while none is queued or a batch is in flight. A time
+        in the past means now.
         """
         if self._batch is not None or not self._queue:
             return float("inf")
@@ -92,36 +93,36 @@
 
     def add(self, record: Record, now_s: float) -> None:
         """Queue a record for the next batch."""
-        drop_at_s = created_at_s(record.key) + self.settings.unresolved_window_s
+        obsolete_after_s = created_at_s(record.key) + self.settings.unresolved_window_s
         claim_id = record.claim_id if isinstance(record, Claim) else None
-        item = _Item(encode_record(record), now_s, drop_at_s, claim_id)
+        item = _QueuedRecord(encode_record(record), now_s, obsolete_after_s, claim_id)
         if claim_id is not None:
-            self._claims[claim_id] = item
+            self._records_by_claim_id[claim_id] = item
         self._queue.append(item)
 
     def withdraw(self, claim_id: bytes) -> bool:
-        """Append a claim no more; return whether it certainly is not in the log."""
-        item = self._claims.pop(claim_id, None)
+        """Stop appending a claim; return whether it certainly is not in the log."""
+        item = self._records_by_claim_id.pop(claim_id, None)
         if item is None:
             return False
         item.withdrawn = True
         return not item.in_flight and not item.maybe_appended
 
-    def ready(self, now_s: float) -> bool:
-        """Tell whether a batch could be appended now."""
+    def is_ready(self, now_s: float) -> bool:
+        """Return whether a batch can be appended now; drop obsolete records first."""
         if self._batch is not None or now_s < self.refused_until_s:
             return False
-        while self._queue and self._is_useless(self._queue[0], now_s):
-            self._forget(self._queue.popleft())
+        while self._queue and self._is_obsolete(self._queue[0], now_s):
+            self._remove_claim(self._queue.popleft())
         return bool(self._queue)
 
-    def take_batch(self, now_s: float) -> AppendRequest:
-        """Return the append of as many waiting records as a batch may hold."""
+    def pop_batch(self, now_s: float) -> AppendRequest:
+        """Put queued records into a batch up to its size limit; return its append."""
         batch = _Batch(self._rng.randbytes(ID_BYTES))
         while self._queue and self._fits(self._queue[0], batch):
             item = self._queue.popleft()
-            if self._is_useless(item, now_s):
-                self._forget(item)
+            if self._is_obsolete(item, now_s):
+                self._remove_claim(item)
                 continue
             item.in_flight = True
             batch.items.append(item)
@@ -130,61 +131,61 @@
         payload = encode_batch(batch.batch_id, [item.encoded for item in batch.items])
         return AppendRequest(batch.batch_id, self.partition, payload)
 
-    def append_ended(
+    def record_append_outcome(
         self, append_id: bytes, outcome: AppendOutcome, now_s: float
     ) -> None:
-        """Take in how an append ended; late and repeated reports do no harm."""
+        """Record how an append ended; ignore late and repeated reports."""
         batch = self._batch
         if batch is None or batch.batch_id != append_id:
             return
-        if isinstance(outcome, Appended) or batch.folded:
-            self._finish()
+        if isinstance(outcome, Appended) or batch.was_read:
+            self._finish_batch()
         elif isinstance(outcome, AppendRefused):
             self.refused_until_s = outcome.retry_at_s
-            self._requeue()
+            self._requeue_batch()
         elif isinstance(outcome, AppendUnconfirmed):
             batch.unconfirmed_at_s = now_s
             for item in batch.items:
                 item.maybe_appended = True
 
-    def batch_folded(self, batch_id: bytes) -> bool:
-        """Take in that a batch was read; return whether it was the one on its way."""
+    def record_batch_read(self, batch_id: bytes) -> bool:
+        """Record that a batch was read; return whether it is the one in flight."""
         batch = self._batch
         if batch is None or batch.batch_id != batch_id:
             return False
-        batch.folded = True
+        batch.was_read = True
         if batch.unconfirmed_at_s is not None:
-            self._finish()
+            self._finish_batch()
         return True
 
-    def read_to_end(self, read_started_at_s: float) -> None:
-        """Queue a lost batch again once a later read to the end lacked it."""
+    def record_read_to_end(self, read_started_at_s: float) -> None:
+        """Queue an unconfirmed batch again if a later read to the end lacked it."""
         batch = self._batch
         if batch is None or batch.unconfirmed_at_s is None:
             return
         if read_started_at_s > batch.unconfirmed_at_s:
-            self._requeue()
+            self._requeue_batch()
 
-    def _fits(self, item: _Item, batch: _Batch) -> bool:
+    def _fits(self, item: _QueuedRecord, batch: _Batch) -> bool:
         if not batch.items:
             return True
         limit_bytes = self.settings.batch_limit_bytes
         return batch.size_bytes + len(item.encoded) <= limit_bytes
 
-    def _is_useless(self, item: _Item, now_s: float) -> bool:
-        return item.withdrawn or now_s > item.drop_at_s
+    def _is_obsolete(self, item: _QueuedRecord, now_s: float) -> bool:
+        return item.withdrawn or now_s > item.obsolete_after_s
 
-    def _finish(self) -> None:
+    def _finish_batch(self) -> None:
         for item in self._batch.items:
-            self._forget(item)
+            self._remove_claim(item)
         self._batch = None
 
-    def _requeue(self) -> None:
+    def _requeue_batch(self) -> None:
         for item in self._batch.items:
             item.in_flight = False
         self._queue.extendleft(reversed(self._batch.items))
         self._batch = None
 
-    def _forget(self, item: _Item) -> None:
+    def _remove_claim(self, item: _QueuedRecord) -> None:
         if item.claim_id is not None:
-            self._claims.pop(item.claim_id, None)
+            self._records_by_claim_id.pop(item.claim_id, None)
--- a/packages/baobabring/baobabring/claims/_events.py
+++ b/packages/baobabring/baobabring/claims/_events.py
@@ -1,4 +1,4 @@
-"""What the coordinator tells about calls that ask for a claim."""
+"""Replies and events of the coordinator about claims and settlements."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -9,28 +9,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimPending:
-    """Tell that the call waits for the log."""
+    """Report that the call waits for a decision; one or more events follow."""
 
     call_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimWon:
-    """Tell that the call holds its key; `may_dispatch` must still allow it to run."""
+    """Report that the call holds its key; `authorize_dispatch` must still allow it."""
 
     call_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimLost:
-    """Tell that another call holds the key; this one waits for its result."""
+    """Report that another call holds the key; this one waits for its result."""
 
     call_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimReplayed:
-    """Tell that the request ran, and its answer as it was kept."""
+    """Report that the request ran, with its stored answer."""
 
     call_id: str
     answer: KeptAnswer
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimUnknown:
-    """Tell that the request may have run, under this call or another one."""
+    """Report that the request may have run, under this call or another one."""
 
     call_id: str
     reason: Reason
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimRefused:
-    """Tell that this call did not run and never will."""
+    """Report that this call did not run and never will."""
 
     call_id: str
     reason: Reason
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownOutcome:
-    """Describe a claim whose outcome nobody knows."""
+    """Represent a claim whose outcome is unknown."""
 
     service_id: str
     key: str
@@ -71,7 +71,7 @@
 
 
 class NotSettleableReason(StrEnum):
-    """Say why an outcome can't be settled."""
+    """Represent the reason why an outcome can't be settled."""
 
     NOT_READ = "claims not read to the end yet"
     NO_CLAIM = "no claim of this key is known"
@@ -80,21 +80,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SettleRequested:
-    """Tell that a settlement is on its way to the log."""
+class SettlementRequested:
+    """Report that a settlement is queued for the log."""
 
     settlement_id: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class NotSettleable:
-    """Tell that nothing was recorded."""
+    """Report that the settlement was refused and not recorded."""
 
     reason: NotSettleableReason
 
 
 class SettlementState(StrEnum):
-    """State of a requested settlement."""
+    """Represent the state of a requested settlement."""
 
     REQUESTED = "requested"
     ACCEPTED = "accepted"
--- a/packages/baobabring/baobabring/claims/_keys.py
+++ b/packages/baobabring/baobabring/claims/_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: UUIDv7 values that carry the time of their creation."""
+"""Idempotency keys: UUIDv7 values, which contain their creation time."""
 
 import re
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 
 class KeyProblem(StrEnum):
-    """Say why an idempotency key cannot be used."""
+    """Represent the reason why an idempotency key is invalid."""
 
     NOT_UUID7 = "not-uuid7"
     IN_FUTURE = "in-future"
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IdempotencyKey:
-    """Hold a key in its canonical text and the time that it carries."""
+    """Represent a key by its canonical text and its creation time in Unix time."""
 
     text: str
     created_at_s: float
@@ -29,42 +29,42 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidKey:
-    """Tell what is wrong with a key."""
+    """Represent a rejected key and what is wrong with it."""
 
     problem: KeyProblem
     detail: str
 
 
 def created_at_s(canonical_key: str) -> float:
-    """Return the time that a canonical UUIDv7 carries, in Unix seconds."""
+    """Return the creation time in a canonical UUIDv7, in Unix seconds."""
     return int(canonical_key[:8] + canonical_key[9:13], 16) / _MS_PER_S
 
 
 def parse_key(
     text: str, now_s: float, future_limit_s: float
 ) -> IdempotencyKey | InvalidKey:
-    """Parse a key; its time may lie at most `future_limit_s` after `now_s`."""
+    """Parse a key; it may be created at most `future_limit_s` after `now_s`."""
     canonical = text.strip().lower()
     if _UUID7.fullmatch(canonical) is None:
         detail = f"idempotency key must be a UUIDv7, got {text!r}"
         return InvalidKey(KeyProblem.NOT_UUID7, detail)
     created = created_at_s(canonical)
     if created > now_s + future_limit_s:
-        detail = f"idempotency key lies {created - now_s:.3f} s in the future"
+        detail = f"idempotency key is {created - now_s:.3f} s in the future"
         return InvalidKey(KeyProblem.IN_FUTURE, detail)
     return IdempotencyKey(canonical, created)
 
 
 def is_canonical(text: str) -> bool:
-    """Tell whether a text is a UUIDv7 in canonical form."""
+    """Return whether a text is a UUIDv7 in canonical form."""
     return _UUID7.fullmatch(text) is not None
 
 
-def partition_of(service_id: str, key: str, partitions: int) -> int:
-    """Return the partition, from 0 on, whose stream holds a canonical key."""
+def compute_partition(service_id: str, key: str, partitions: int) -> int:
+    """Return the zero-based partition of a canonical key."""
     return xxhash.xxh3_64_intdigest(f"{service_id}\0{key}".encode()) % partitions
 
 
-def stream_of(partition: int) -> str:
-    """Return the name of the stream that holds a partition."""
+def get_stream_name(partition: int) -> str:
+    """Return the name of the log stream of a partition."""
     return f"claims-{partition}"
--- a/packages/baobabring/baobabring/claims/_records.py
+++ b/packages/baobabring/baobabring/claims/_records.py
@@ -6,14 +6,14 @@
 
 
 class Settlement(IntEnum):
-    """Say what operators found out about an unknown outcome."""
+    """Represent what operators found out about an unknown outcome."""
 
     RAN = 1
     NOT_RUN = 2
 
 
 class Claim(msgspec.Struct, tag="claim", array_like=True, frozen=True):
-    """Ask for the sole right to run the request that a key names."""
+    """Request the exclusive right to run the request of a key."""
 
     claim_id: bytes
     service_id: str
@@ -28,7 +28,7 @@
 
 
 class Result(msgspec.Struct, tag="result", array_like=True, frozen=True):
-    """Keep a target's answer: whole, or status and digest beyond a limit."""
+    """Store a target's answer: complete, or status and digest above a size limit."""
 
     claim_id: bytes
     service_id: str
@@ -40,7 +40,7 @@
 
 
 class Release(msgspec.Struct, tag="release", array_like=True, frozen=True):
-    """Give a key up: under this claim the request certainly did not run."""
+    """Release a key: under this claim the request did not run and never will."""
 
     claim_id: bytes
     service_id: str
@@ -48,7 +48,7 @@
 
 
 class Undetermined(msgspec.Struct, tag="undetermined", array_like=True, frozen=True):
-    """Tell that the holder cannot know whether the request ran."""
+    """Record that the holder cannot know whether the request ran."""
 
     claim_id: bytes
     service_id: str
@@ -69,7 +69,7 @@
 
 
 class Batch(msgspec.Struct, array_like=True, frozen=True):
-    """Carry many records in one append."""
+    """Represent the records of one append."""
 
     batch_id: bytes
     records: tuple[Record, ...]
@@ -87,12 +87,12 @@
 
 
 def encode_record(record: Record) -> bytes:
-    """Encode one record, to be put into a batch."""
+    """Encode one record for a batch."""
     return _encoder.encode(record)
 
 
 def encode_batch(batch_id: bytes, encoded_records: list[bytes]) -> bytes:
-    """Encode a batch of records that are encoded already."""
+    """Encode a batch of records that are already encoded."""
     raw = tuple(msgspec.Raw(encoded) for encoded in encoded_records)
     return _encoder.encode(_RawBatch(batch_id, raw))
 
@@ -100,7 +100,8 @@
 def decode_batch(payload: bytes) -> tuple[Batch | None, int]:
     """Decode a batch; return it and the number of records that were skipped.
 
-    A payload that is no batch at all gives None and counts as one skip.
+    Skip records that cannot be decoded. Return None and 1 if the payload is not a
+    batch.
     """
     try:
         return _batch_decoder.decode(payload), 0
--- a/packages/baobabring/baobabring/claims/_settings.py
+++ b/packages/baobabring/baobabring/claims/_settings.py
@@ -1,17 +1,17 @@
-"""Settings of the claims."""
+"""Settings of the claims on idempotency keys."""
 
 from dataclasses import dataclass, fields
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimSettings:
-    """Bound the claims in time, bytes and appends.
+    """Represent the limits of claims in time, bytes and appends.
 
-    `window_s` is the age up to which a key can be shown to be new, and
+    `window_s` is the maximum age at which a key can be proven to be new, and
     `unresolved_window_s` the age up to which unknown outcomes stay listed. Both must
-    be shorter than the log's retention. `clock_skew_s` bounds how far the clocks of
-    instances and of the log differ, `future_limit_s` how far those of callers run
-    ahead. `budget_appends_per_s` holds for the whole fleet.
+    be shorter than the log's retention. `clock_skew_s` limits how far the clocks of
+    instances and of the log differ, `future_limit_s` how far callers' clocks are
+    ahead. `budget_appends_per_s` applies to the whole fleet.
     """
 
     window_s: float = 600.0
@@ -28,7 +28,7 @@
     body_limit_bytes: int = 4096
 
     def check(self) -> None:
-        """Raise ValueError on a value out of range."""
+        """Raise ValueError if a value is out of range."""
         for field in fields(self):
             value = getattr(self, field.name)
             if value <= 0 and field.name != "body_limit_bytes":
--- a/packages/baobabring/baobabring/claims/_settlements.py
+++ b/packages/baobabring/baobabring/claims/_settlements.py
@@ -1,4 +1,4 @@
-"""Unknown outcomes and what operators find out about them."""
+"""Unknown outcomes and their settlement by operators."""
 
 import random
 from collections import OrderedDict
@@ -7,20 +7,20 @@
 from baobabring.claims._events import (
     NotSettleable,
     NotSettleableReason,
+    SettlementRequested,
     SettlementState,
-    SettleRequested,
     UnknownOutcome,
 )
 from baobabring.claims._partition import Partition
 from baobabring.claims._records import Settled, Settlement
 from baobabring.claims._settings import ClaimSettings
-from baobabring.claims._table import KeyEntry, KeyId, KeyState, SettlementFolded
+from baobabring.claims._table import KeyEntry, KeyId, KeyState, SettlementDecided
 
-_REMEMBERED_SETTLEMENTS = 1000
+_MAX_TRACKED_SETTLEMENTS = 1000
 
 
-class Settlements:
-    """List unknown outcomes, record settlements and follow what became of them."""
+class SettlementTracker:
+    """List unknown outcomes, record settlements and track their states."""
 
     def __init__(self, settings: ClaimSettings, rng: random.Random) -> None:
         self.settings = settings
@@ -30,10 +30,10 @@
     def unknown_outcomes(
         self, partition: Partition, now_s: float
     ) -> list[UnknownOutcome]:
-        """Return the claims of a partition whose outcome nobody knows."""
+        """Return the claims of a partition whose outcome is unknown."""
         return [
-            _describe(key_id, entry)
-            for key_id, entry in partition.table.unresolved()
+            _create_unknown_outcome(key_id, entry)
+            for key_id, entry in partition.table.iter_unresolved()
             if is_unknown(entry, now_s, self.settings)
         ]
 
@@ -43,45 +43,45 @@
         key_id: KeyId,
         settlement: Settlement,
         now_s: float,
-    ) -> SettleRequested | NotSettleable:
-        """Queue a settlement if the outcome is unknown and can't change any more."""
-        problem = self._problem(partition, key_id, settlement, now_s)
+    ) -> SettlementRequested | NotSettleable:
+        """Queue a settlement if the outcome is unknown and can no longer change."""
+        problem = self._find_problem(partition, key_id, settlement, now_s)
         if problem is not None:
             return NotSettleable(problem)
         service_id, key = key_id
-        claim_id = partition.table.entry(key_id).holder.claim_id
+        claim_id = partition.table.get_entry(key_id).holder.claim_id
         settlement_id = self._rng.randbytes(ID_BYTES)
         record = Settled(settlement_id, claim_id, service_id, key, settlement)
         partition.batcher.add(record, now_s)
-        self._remember(settlement_id)
-        return SettleRequested(settlement_id)
+        self._add_state(settlement_id)
+        return SettlementRequested(settlement_id)
 
-    def folded(self, effect: SettlementFolded) -> None:
-        """Take in what became of a settlement; the first verdict stands."""
+    def record_decision(self, effect: SettlementDecided) -> None:
+        """Record whether a settlement was accepted; only the first decision counts."""
         if self._states.get(effect.settlement_id) is SettlementState.REQUESTED:
             accepted = effect.accepted
             state = SettlementState.ACCEPTED if accepted else SettlementState.REJECTED
             self._states[effect.settlement_id] = state
 
-    def state(self, settlement_id: bytes) -> SettlementState | None:
-        """Return the state of a settlement requested here, None if not remembered."""
+    def get_state(self, settlement_id: bytes) -> SettlementState | None:
+        """Return the state of a settlement requested here, or None if not tracked."""
         return self._states.get(settlement_id)
 
-    def _remember(self, settlement_id: bytes) -> None:
+    def _add_state(self, settlement_id: bytes) -> None:
         self._states[settlement_id] = SettlementState.REQUESTED
-        if len(self._states) > _REMEMBERED_SETTLEMENTS:
+        if len(self._states) > _MAX_TRACKED_SETTLEMENTS:
             self._states.popitem(last=False)
 
-    def _problem(
+    def _find_problem(
         self,
         partition: Partition,
         key_id: KeyId,
         settlement: Settlement,
         now_s: float,
     ) -> NotSettleableReason | None:
-        if not partition.table.read_to_end:
+        if not partition.table.has_reached_end:
             return NotSettleableReason.NOT_READ
-        entry = partition.table.entry(key_id)
+        entry = partition.table.get_entry(key_id)
         if entry is None or entry.state is KeyState.FREE:
             return NotSettleableReason.NO_CLAIM
         if entry.state in (KeyState.ANSWERED, KeyState.SETTLED_RAN):
@@ -96,7 +96,7 @@
 
 
 def is_unknown(entry: KeyEntry, now_s: float, settings: ClaimSettings) -> bool:
-    """Tell whether nobody can be expected to report how the holder's call ended."""
+    """Return whether no report of how the holder's call ended can be expected."""
     if entry.state is KeyState.UNDETERMINED:
         return True
     if entry.state is not KeyState.CLAIMED:
@@ -105,11 +105,11 @@
 
 
 def unknown_at_s(entry: KeyEntry, settings: ClaimSettings) -> float:
-    """Return until when the result of a claimed key may be waited for."""
+    """Return the time after which a claimed key without result is unknown."""
     return entry.holder.dispatch_deadline_s + settings.result_grace_s
 
 
-def _describe(key_id: KeyId, entry: KeyEntry) -> UnknownOutcome:
+def _create_unknown_outcome(key_id: KeyId, entry: KeyEntry) -> UnknownOutcome:
     service_id, key = key_id
     holder = entry.holder
     return UnknownOutcome(
--- a/packages/baobabring/baobabring/claims/_table.py
+++ b/packages/baobabring/baobabring/claims/_table.py
@@ -1,11 +1,11 @@
-"""Fold of one partition's stream into the state of its keys."""
+"""State of the keys of one partition, built from the records of its stream."""
 
 import heapq
 from collections.abc import Iterator
 from dataclasses import dataclass
 from enum import Enum
 
-from baobabring.claims._answers import KeptAnswer, kept_answer_of
+from baobabring.claims._answers import KeptAnswer, create_kept_answer
 from baobabring.claims._keys import created_at_s, is_canonical
 from baobabring.claims._records import (
     Claim,
@@ -24,7 +24,7 @@
 
 
 class KeyState(Enum):
-    """State of a key whose request was claimed at least once."""
+    """Represent the state of an idempotency key."""
 
     FREE = "free"
     CLAIMED = "claimed"
@@ -34,7 +34,7 @@
 
 
 class Verdict(Enum):
-    """Say what became of a claim when it was folded."""
+    """Represent the decision on a claim."""
 
     WON = "won"
     LOST = "lost"
@@ -46,63 +46,69 @@
 
 @dataclass(slots=True)
 class KeyEntry:
-    """Hold what the log says about one key."""
+    """Represent the state of one key according to the log.
+
+    `retired_ids` identifies claims and settlements that must not take effect when
+    they are read again or late.
+    """
 
     created_at_s: float
     state: KeyState = KeyState.FREE
     holder: Claim | None = None
     answer: KeptAnswer | None = None
-    spent_ids: frozenset[bytes] = frozenset()
+    retired_ids: frozenset[bytes] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
-class ClaimFolded:
-    """Tell the verdict on a claim that was read for the first time."""
+class ClaimDecided:
+    """Report the verdict on a claim that was read for the first time."""
 
     claim: Claim
     verdict: Verdict
 
 
 @dataclass(frozen=True, slots=True)
-class KeyChanged:
-    """Tell that a key got a new state other than by a claim."""
+class KeyStateChanged:
+    """Report that a record other than a claim changed the state of a key."""
 
     key_id: KeyId
     state: KeyState
 
 
 @dataclass(frozen=True, slots=True)
-class SettlementFolded:
-    """Tell whether a settlement took effect."""
+class SettlementDecided:
+    """Report whether a settlement took effect."""
 
     settlement_id: bytes
     accepted: bool
 
 
 @dataclass(frozen=True, slots=True)
-class BatchFolded:
-    """Tell that a batch was read."""
+class BatchRead:
+    """Report that a batch was read."""
 
     batch_id: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class CoverageLost:
-    """Tell that records expired unread; older keys can't be shown to be new."""
+    """Report that records expired unread, so older keys can't be proven to be new."""
 
     covered_since_s: float
 
 
-FoldEffect = ClaimFolded | KeyChanged | SettlementFolded | BatchFolded | CoverageLost
+TableEffect = (
+    ClaimDecided | KeyStateChanged | SettlementDecided | BatchRead | CoverageLost
+)
 
 
 class ClaimTable:
-    """Fold one partition in offset order; every reader gets the same verdicts.
+    """Apply the records of one partition; all readers reach the same verdicts.
 
     Parameters
     ----------
     settings : ClaimSettings
-        Windows and margins; all instances must use the same.
+        Windows and margins; must be equal at all instances.
     """
 
     def __init__(self, settings: ClaimSettings) -> None:
@@ -110,235 +116,241 @@
         self.next_offset = 0
         self.covered_since_s = float("-inf")
         self.log_time_s = float("-inf")
-        self.read_to_end = False
-        self.skipped_records = 0
-        self.ignored_records = 0
-        self.contradicting_results = 0
+        self.has_reached_end = False
+        self.skipped_record_count = 0
+        self.ignored_record_count = 0
+        self.contradicting_result_count = 0
         self._entries: dict[KeyId, KeyEntry] = {}
-        self._drops: list[tuple[float, KeyId]] = []
+        self._expiry_queue: list[tuple[float, KeyId]] = []
 
     def __len__(self) -> int:
         return len(self._entries)
 
-    def entry(self, key_id: KeyId) -> KeyEntry | None:
-        """Return what the log says about a key, None if it says nothing."""
+    def get_entry(self, key_id: KeyId) -> KeyEntry | None:
+        """Return the entry of a key, or None if there is none."""
         return self._entries.get(key_id)
 
     def covers(self, key_created_at_s: float) -> bool:
-        """Tell whether every record of a key of that age must have been read."""
+        """Return whether every record of a key created then must have been read."""
         margin_s = self.settings.future_limit_s + self.settings.clock_skew_s
         return key_created_at_s > self.covered_since_s + margin_s
 
-    def unresolved(self) -> Iterator[tuple[KeyId, KeyEntry]]:
-        """Yield the keys that have a holder and no answer."""
+    def iter_unresolved(self) -> Iterator[tuple[KeyId, KeyEntry]]:
+        """Yield the keys that are claimed or undetermined."""
         for key_id, entry in self._entries.items():
             if entry.state in (KeyState.CLAIMED, KeyState.UNDETERMINED):
                 yield key_id, entry
 
-    def apply_page(self, page: Page, now_s: float) -> list[FoldEffect]:
-        """Fold the records not folded yet; return what changed, in order."""
-        effects: list[FoldEffect] = []
+    def apply_page(self, page: Page, now_s: float) -> list[TableEffect]:
+        """Apply the records not applied yet; return the changes in order."""
+        effects: list[TableEffect] = []
         if page.earliest_offset > self.next_offset:
-            effects.append(self._lose_coverage(page, now_s))
+            effects.append(self._skip_expired_records(page, now_s))
         for record in page.records:
             if record.offset == self.next_offset:
                 self.next_offset += 1
-                self._fold_batch(record, effects)
-        self.read_to_end = self.read_to_end or self.is_at_end(page)
-        self._drop_old_entries()
+                self._apply_batch(record, effects)
+        self.has_reached_end = self.has_reached_end or self.is_at_end(page)
+        self._remove_expired_entries()
         return effects
 
     def is_at_end(self, page: Page) -> bool:
-        """Tell whether all that the stream held as of `page` is folded."""
+        """Return whether all records that the stream had as of `page` are applied."""
         return self.next_offset >= page.next_offset
 
-    def _lose_coverage(self, page: Page, now_s: float) -> CoverageLost:
+    def _skip_expired_records(self, page: Page, now_s: float) -> CoverageLost:
         self.next_offset = page.earliest_offset
         first = page.records[0] if page.records else None
-        known = first is not None and first.offset == page.earliest_offset
-        since_s = first.appended_at_s if known else now_s
+        time_is_known = first is not None and first.offset == page.earliest_offset
+        since_s = first.appended_at_s if time_is_known else now_s
         self.covered_since_s = max(self.covered_since_s, since_s)
         for key_id, entry in list(self._entries.items()):
             if entry.answer is None and not self.covers(entry.created_at_s):
                 del self._entries[key_id]
         return CoverageLost(self.covered_since_s)
 
-    def _fold_batch(self, record: LogRecord, effects: list[FoldEffect]) -> None:
+    def _apply_batch(self, record: LogRecord, effects: list[TableEffect]) -> None:
         self.log_time_s = max(self.log_time_s, record.appended_at_s)
         batch, skipped = decode_batch(record.payload)
-        self.skipped_records += skipped
+        self.skipped_record_count += skipped
         if batch is None:
             return
         for item in batch.records:
-            self._fold_record(item, record.appended_at_s, effects)
-        effects.append(BatchFolded(batch.batch_id))
+            self._apply_record(item, record.appended_at_s, effects)
+        effects.append(BatchRead(batch.batch_id))
 
-    def _fold_record(
-        self, record: Record, appended_at_s: float, effects: list[FoldEffect]
+    def _apply_record(
+        self, record: Record, appended_at_s: float, effects: list[TableEffect]
     ) -> None:
         if not is_canonical(record.key):
-            self.skipped_records += 1
+            self.skipped_record_count += 1
         elif type(record) is Claim:
-            self._fold_claim(record, appended_at_s, effects)
+            self._apply_claim(record, appended_at_s, effects)
         elif type(record) is Result:
-            self._fold_result(record, effects)
+            self._apply_result(record, effects)
         elif type(record) is Release:
-            self._fold_release(record, effects)
+            self._apply_release(record, effects)
         elif type(record) is Undetermined:
-            self._fold_undetermined(record, effects)
+            self._apply_undetermined(record, effects)
         else:
-            self._fold_settled(record, appended_at_s, effects)
+            self._apply_settled(record, appended_at_s, effects)
 
-    def _fold_claim(
-        self, claim: Claim, appended_at_s: float, effects: list[FoldEffect]
+    def _apply_claim(
+        self, claim: Claim, appended_at_s: float, effects: list[TableEffect]
     ) -> None:
         key_id = (claim.service_id, claim.key)
         created = created_at_s(claim.key)
         if created < self.log_time_s - self.settings.window_s:
-            effects.append(ClaimFolded(claim, Verdict.TOO_OLD))
+            effects.append(ClaimDecided(claim, Verdict.TOO_OLD))
             return
         entry = self._entries.get(key_id)
         if entry is None and not self.covers(created):
-            effects.append(ClaimFolded(claim, Verdict.NOT_COVERED))
+            effects.append(ClaimDecided(claim, Verdict.NOT_COVERED))
             return
         if entry is None:
             entry = self._add_entry(key_id, created)
-        if self._is_known(claim, entry):
-            self.ignored_records += 1
+        if self._is_duplicate(claim, entry):
+            self.ignored_record_count += 1
             return
-        effects.append(ClaimFolded(claim, self._judge(claim, entry, appended_at_s)))
-
-    def _judge(self, claim: Claim, entry: KeyEntry, appended_at_s: float) -> Verdict:
-        late_s = claim.dispatch_deadline_s + self.settings.settlement_margin_s
-        if entry.state is KeyState.FREE and appended_at_s <= late_s:
+        effects.append(
+            ClaimDecided(claim, self._decide_claim(claim, entry, appended_at_s))
+        )
+
+    def _decide_claim(
+        self, claim: Claim, entry: KeyEntry, appended_at_s: float
+    ) -> Verdict:
+        latest_append_at_s = (
+            claim.dispatch_deadline_s + self.settings.settlement_margin_s
+        )
+        if entry.state is KeyState.FREE and appended_at_s <= latest_append_at_s:
             entry.holder = claim
             entry.state = KeyState.CLAIMED
             return Verdict.WON
-        entry.spent_ids |= {claim.claim_id}
+        entry.retired_ids |= {claim.claim_id}
         if entry.state is KeyState.FREE:
             return Verdict.TOO_LATE
-        if same_request(entry.holder, claim.fingerprint, claim.tenant):
+        if is_same_request(entry.holder, claim.fingerprint, claim.tenant):
             return Verdict.LOST
         return Verdict.KEY_REUSED
 
-    def _is_known(self, claim: Claim, entry: KeyEntry) -> bool:
-        if claim.claim_id in entry.spent_ids:
+    def _is_duplicate(self, claim: Claim, entry: KeyEntry) -> bool:
+        if claim.claim_id in entry.retired_ids:
             return True
         return entry.holder is not None and entry.holder.claim_id == claim.claim_id
 
-    def _held_by(self, record: Record) -> KeyEntry | None:
+    def _get_held_entry(self, record: Record) -> KeyEntry | None:
         entry = self._entries.get((record.service_id, record.key))
         if entry is None or entry.holder is None:
             return None
         return entry if entry.holder.claim_id == record.claim_id else None
 
-    def _fold_result(self, result: Result, effects: list[FoldEffect]) -> None:
-        entry = self._held_by(result)
+    def _apply_result(self, result: Result, effects: list[TableEffect]) -> None:
+        entry = self._get_held_entry(result)
         if entry is None or entry.answer is not None:
-            self.ignored_records += 1
-            self._note_contradiction(result)
+            self.ignored_record_count += 1
+            self._count_contradiction(result)
             return
-        entry.answer = kept_answer_of(result)
-        self._change(result, entry, KeyState.ANSWERED, effects)
+        entry.answer = create_kept_answer(result)
+        self._set_state(result, entry, KeyState.ANSWERED, effects)
 
-    def _note_contradiction(self, result: Result) -> None:
+    def _count_contradiction(self, result: Result) -> None:
         entry = self._entries.get((result.service_id, result.key))
-        if entry is not None and result.claim_id in entry.spent_ids:
-            self.contradicting_results += 1
+        if entry is not None and result.claim_id in entry.retired_ids:
+            self.contradicting_result_count += 1
 
-    def _fold_release(self, release: Release, effects: list[FoldEffect]) -> None:
-        entry = self._held_by(release)
+    def _apply_release(self, release: Release, effects: list[TableEffect]) -> None:
+        entry = self._get_held_entry(release)
         if entry is not None and entry.state is KeyState.CLAIMED:
-            self._free(release, entry, effects)
+            self._free_key(release, entry, effects)
             return
-        self.ignored_records += 1
-        self._spend(release)
+        self.ignored_record_count += 1
+        self._retire_claim(release)
 
-    def _spend(self, release: Release) -> None:
-        # The claim may be on its way yet; it must not win after its release.
+    def _retire_claim(self, release: Release) -> None:
+        # The claim may still be in flight; it must not win after its release.
         key_id = (release.service_id, release.key)
         entry = self._entries.get(key_id)
         created = created_at_s(release.key)
         if entry is None and created >= self.log_time_s - self.settings.window_s:
             entry = self._add_entry(key_id, created) if self.covers(created) else None
-        if entry is not None and self._held_by(release) is None:
-            entry.spent_ids |= {release.claim_id}
+        if entry is not None and self._get_held_entry(release) is None:
+            entry.retired_ids |= {release.claim_id}
 
-    def _fold_undetermined(
-        self, record: Undetermined, effects: list[FoldEffect]
+    def _apply_undetermined(
+        self, record: Undetermined, effects: list[TableEffect]
     ) -> None:
-        entry = self._held_by(record)
+        entry = self._get_held_entry(record)
         if entry is None or entry.state is not KeyState.CLAIMED:
-            self.ignored_records += 1
+            self.ignored_record_count += 1
             return
-        self._change(record, entry, KeyState.UNDETERMINED, effects)
+        self._set_state(record, entry, KeyState.UNDETERMINED, effects)
 
-    def _fold_settled(
-        self, record: Settled, appended_at_s: float, effects: list[FoldEffect]
+    def _apply_settled(
+        self, record: Settled, appended_at_s: float, effects: list[TableEffect]
     ) -> None:
-        entry = self._held_by(record)
+        entry = self._get_held_entry(record)
         accepted = entry is not None and self._may_settle(record, entry, appended_at_s)
-        effects.append(SettlementFolded(record.settlement_id, accepted))
+        effects.append(SettlementDecided(record.settlement_id, accepted))
         if entry is not None:
-            # A settlement that came too early must not count when it lands again.
-            entry.spent_ids |= {record.settlement_id}
+            # A settlement rejected as too early must stay rejected if appended again.
+            entry.retired_ids |= {record.settlement_id}
         if not accepted:
-            self.ignored_records += 1
+            self.ignored_record_count += 1
         elif record.settlement is Settlement.NOT_RUN:
-            self._free(record, entry, effects)
+            self._free_key(record, entry, effects)
         else:
-            self._change(record, entry, KeyState.SETTLED_RAN, effects)
+            self._set_state(record, entry, KeyState.SETTLED_RAN, effects)
 
     def _may_settle(
         self, record: Settled, entry: KeyEntry, appended_at_s: float
     ) -> bool:
         if entry.state not in (KeyState.CLAIMED, KeyState.UNDETERMINED):
             return False
-        if record.settlement_id in entry.spent_ids:
+        if record.settlement_id in entry.retired_ids:
             return False
         if record.settlement is Settlement.RAN:
             return True
-        # Until then the holder may dispatch the request yet.
+        # Until then the holder may still dispatch the request.
         margin_s = self.settings.settlement_margin_s
         return appended_at_s > entry.holder.dispatch_deadline_s + margin_s
 
-    def _free(
-        self, record: Release | Settled, entry: KeyEntry, effects: list[FoldEffect]
+    def _free_key(
+        self, record: Release | Settled, entry: KeyEntry, effects: list[TableEffect]
     ) -> None:
-        entry.spent_ids |= {record.claim_id}
+        entry.retired_ids |= {record.claim_id}
         entry.holder = None
-        self._change(record, entry, KeyState.FREE, effects)
+        self._set_state(record, entry, KeyState.FREE, effects)
 
-    def _change(
+    def _set_state(
         self,
         record: Record,
         entry: KeyEntry,
         state: KeyState,
-        effects: list[FoldEffect],
+        effects: list[TableEffect],
     ) -> None:
         entry.state = state
-        effects.append(KeyChanged((record.service_id, record.key), state))
+        effects.append(KeyStateChanged((record.service_id, record.key), state))
 
     def _add_entry(self, key_id: KeyId, created: float) -> KeyEntry:
         entry = KeyEntry(created)
         self._entries[key_id] = entry
-        heapq.heappush(self._drops, (created + self.settings.window_s, key_id))
+        heapq.heappush(self._expiry_queue, (created + self.settings.window_s, key_id))
         return entry
 
-    def _drop_old_entries(self) -> None:
-        while self._drops and self._drops[0][0] < self.log_time_s:
-            _, key_id = heapq.heappop(self._drops)
+    def _remove_expired_entries(self) -> None:
+        while self._expiry_queue and self._expiry_queue[0][0] < self.log_time_s:
+            _, key_id = heapq.heappop(self._expiry_queue)
             entry = self._entries.get(key_id)
             if entry is None:
                 continue
             keep_until_s = entry.created_at_s + self.settings.unresolved_window_s
             unresolved = entry.state in (KeyState.CLAIMED, KeyState.UNDETERMINED)
             if unresolved and keep_until_s >= self.log_time_s:
-                heapq.heappush(self._drops, (keep_until_s, key_id))
+                heapq.heappush(self._expiry_queue, (keep_until_s, key_id))
             else:
                 del self._entries[key_id]
 
 
-def same_request(holder: Claim, fingerprint: bytes, tenant: str) -> bool:
-    """Tell whether a request is the same as the one that holds its key."""
+def is_same_request(holder: Claim, fingerprint: bytes, tenant: str) -> bool:
+    """Return whether a request is the same as the one that holds its key."""
     return holder.fingerprint == fingerprint and holder.tenant == tenant
--- a/packages/baobabring/baobabring/claims/_tracker.py
+++ b/packages/baobabring/baobabring/claims/_tracker.py
@@ -1,9 +1,9 @@
-"""Calls that ask for a claim, from their request to their verdict."""
+"""Tracking of calls with an idempotency key until their claims are decided."""
 
 import random
 
 from baobabring.claims._batcher import ID_BYTES
-from baobabring.claims._calls import Call, CallBook, CallState
+from baobabring.claims._calls import Call, CallRegistry, CallState
 from baobabring.claims._events import (
     ClaimEvent,
     ClaimLost,
@@ -19,21 +19,21 @@
 from baobabring.claims._settings import ClaimSettings
 from baobabring.claims._settlements import is_unknown, unknown_at_s
 from baobabring.claims._table import (
-    ClaimFolded,
+    ClaimDecided,
     CoverageLost,
-    FoldEffect,
-    KeyChanged,
     KeyState,
+    KeyStateChanged,
+    TableEffect,
     Verdict,
-    same_request,
+    is_same_request,
 )
 from baobabring.model import Reason
 
-_REVIEW_INTERVAL_S = 0.1
+_MIN_REVIEW_INTERVAL_S = 0.1
 
 
 class CallTracker:
-    """Claim keys for calls and turn what the log says into one event for each."""
+    """Claim keys for calls and turn changes of the claim table into events."""
 
     def __init__(
         self,
@@ -46,55 +46,55 @@
         self.settings = settings
         self._partitions = partitions
         self._rng = rng
-        self._calls = CallBook()
+        self._calls = CallRegistry()
         self._events: list[ClaimEvent] = []
 
     def request(self, call: Call, now_s: float) -> RequestReply:
-        """Answer a call from what is known, or take it on."""
-        self._partition(call).start(now_s)
-        reply = self._reply_at_once(call, now_s)
+        """Reply from the claim table, or start to track the call."""
+        self._partition(call).start_timing(now_s)
+        reply = self._get_immediate_reply(call, now_s)
         if reply is not None:
             return reply
         self._calls.add(call)
-        if self._is_held(call) and self._partition(call).table.read_to_end:
-            self._wait(call, now_s)
+        if self._is_held_by_other(call) and self._partition(call).table.has_reached_end:
+            self._start_waiting(call, now_s)
         else:
-            self._claim(call, now_s)
+            self._submit_claim(call, now_s)
         return ClaimPending(call.call_id)
 
-    def take_events(self) -> list[ClaimEvent]:
-        """Return the events since the last time."""
+    def drain_events(self) -> list[ClaimEvent]:
+        """Return and clear the events recorded so far."""
         events = self._events
         self._events = []
         return events
 
-    def review_due(self, now_s: float) -> None:
-        """Look at the calls whose time has come."""
-        for call in self._calls.due(now_s):
+    def review_due_calls(self, now_s: float) -> None:
+        """Review the calls whose scheduled review is due."""
+        for call in self._calls.pop_due(now_s):
             self._review(call, now_s)
             if self._calls.get(call.call_id) is call:
-                self._wake(call, now_s)
+                self._schedule_review(call, now_s)
 
     def review_partition(self, partition: int, now_s: float) -> None:
-        """Look at all calls of a partition."""
-        for call in self._calls.of_partition(partition):
+        """Review all calls of a partition."""
+        for call in self._calls.list_by_partition(partition):
             self._review(call, now_s)
 
-    def apply_effect(self, partition: int, effect: FoldEffect, now_s: float) -> None:
-        """Take in what a record changed."""
-        if isinstance(effect, ClaimFolded):
-            call = self._calls.by_claim_id(effect.claim.claim_id)
+    def apply_effect(self, partition: int, effect: TableEffect, now_s: float) -> None:
+        """Update the calls that a change of the table concerns."""
+        if isinstance(effect, ClaimDecided):
+            call = self._calls.get_by_claim_id(effect.claim.claim_id)
             if call is not None and call.state is CallState.PENDING:
                 self._apply_verdict(call, effect.verdict, now_s)
-        elif isinstance(effect, KeyChanged):
-            for call in self._calls.of_key(effect.key_id):
+        elif isinstance(effect, KeyStateChanged):
+            for call in self._calls.list_by_key(effect.key_id):
                 if call.state is CallState.WAITING:
-                    self._follow(call, now_s)
+                    self._apply_key_state(call, now_s)
         elif isinstance(effect, CoverageLost):
-            self._drop_uncovered(partition, now_s)
+            self._end_uncovered_calls(partition, now_s)
 
-    def may_dispatch(self, call_id: str, now_s: float) -> bool:
-        """Tell whether a call may be sent to a target at this moment."""
+    def authorize_dispatch(self, call_id: str, now_s: float) -> bool:
+        """Return whether a call may be sent now; if so, record it as dispatched."""
         call = self._calls.get(call_id)
         if call is None or call.state is not CallState.WON:
             return False
@@ -105,8 +105,8 @@
         call.dispatched = True
         return True
 
-    def end_won(self, call_id: str) -> Call:
-        """Remove and return a call that won; ValueError if there is none."""
+    def pop_won_call(self, call_id: str) -> Call:
+        """Remove and return a call that won; raise ValueError if there is none."""
         call = self._calls.get(call_id)
         if call is None or call.state is not CallState.WON:
             raise ValueError(f"call_id {call_id!r} holds no claim")
@@ -114,7 +114,7 @@
         return call
 
     def cancel(self, call_id: str, now_s: float) -> None:
-        """Remove a call and give up what it holds, without an event."""
+        """Remove a call and give up its claim, without an event."""
         call = self._calls.get(call_id)
         if call is None:
             return
@@ -132,33 +132,33 @@
         self._partition(call).batcher.add(record, now_s)
 
     def record_undetermined(self, call: Call, now_s: float) -> None:
-        """Record that nobody can know whether a call ran."""
+        """Record that it cannot be known whether a call ran."""
         record = Undetermined(call.claim_id, call.service_id, call.key)
         self._partition(call).batcher.add(record, now_s)
 
     def _partition(self, call: Call) -> Partition:
         return self._partitions[call.partition]
 
-    def _reply_at_once(self, call: Call, now_s: float) -> RequestReply | None:
+    def _get_immediate_reply(self, call: Call, now_s: float) -> RequestReply | None:
         if now_s >= call.deadline_s:
             return ClaimRefused(call.call_id, Reason.DEADLINE, now_s)
-        reply = self._reply_from_table(call, now_s)
+        reply = self._get_reply_from_table(call, now_s)
         if reply is not None:
             return reply
-        if not self._is_held(call) and self._log_unavailable(call, now_s):
-            return self._log_refusal(call, now_s)
+        if not self._is_held_by_other(call) and self._is_log_unavailable(call, now_s):
+            return self._create_log_refusal(call, now_s)
         return None
 
-    def _reply_from_table(self, call: Call, now_s: float) -> RequestReply | None:
+    def _get_reply_from_table(self, call: Call, now_s: float) -> RequestReply | None:
         table = self._partition(call).table
-        entry = table.entry(call.key_id)
+        entry = table.get_entry(call.key_id)
         final = entry is not None and entry.answer is not None
-        if entry is not None and entry.holder and (final or table.read_to_end):
+        if entry is not None and entry.holder and (final or table.has_reached_end):
             if not self._is_same_request(call):
                 return ClaimRefused(call.call_id, Reason.KEY_REUSED, now_s)
             if final:
                 return ClaimReplayed(call.call_id, entry.answer)
-            if not self._may_get_result(call, now_s):
+            if not self._can_get_result(call, now_s):
                 return ClaimUnknown(call.call_id, Reason.HOLDER_LOST)
         covered = entry is not None or table.covers(call.key_created_at_s)
         if self._is_too_old(call, now_s) or not covered:
@@ -168,30 +168,30 @@
     def _is_too_old(self, call: Call, now_s: float) -> bool:
         return now_s - call.key_created_at_s > self.settings.window_s
 
-    def _is_held(self, call: Call) -> bool:
-        """Tell whether another claim than the call's own holds its key."""
-        entry = self._partition(call).table.entry(call.key_id)
+    def _is_held_by_other(self, call: Call) -> bool:
+        """Return whether a claim other than the call's own holds its key."""
+        entry = self._partition(call).table.get_entry(call.key_id)
         if entry is None or entry.holder is None:
             return False
         return entry.holder.claim_id != call.claim_id
 
-    def _may_get_result(self, call: Call, now_s: float) -> bool:
-        entry = self._partition(call).table.entry(call.key_id)
+    def _can_get_result(self, call: Call, now_s: float) -> bool:
+        entry = self._partition(call).table.get_entry(call.key_id)
         if entry is None or entry.state is not KeyState.CLAIMED:
             return False
         return not is_unknown(entry, now_s, self.settings)
 
-    def _log_unavailable(self, call: Call, now_s: float) -> bool:
+    def _is_log_unavailable(self, call: Call, now_s: float) -> bool:
         partition = self._partition(call)
-        return partition.failing(now_s) or partition.out_of_reach(
+        return partition.is_failing(now_s) or partition.is_refusing_until(
             call.deadline_s, now_s
         )
 
-    def _log_refusal(self, call: Call, now_s: float) -> ClaimRefused:
-        retry_at_s = self._partition(call).retry_at_s(now_s)
+    def _create_log_refusal(self, call: Call, now_s: float) -> ClaimRefused:
+        retry_at_s = self._partition(call).get_retry_at_s(now_s)
         return ClaimRefused(call.call_id, Reason.LOG_UNAVAILABLE, retry_at_s)
 
-    def _claim(self, call: Call, now_s: float) -> None:
+    def _submit_claim(self, call: Call, now_s: float) -> None:
         self._calls.set_claim(call, self._rng.randbytes(ID_BYTES))
         call.state = CallState.PENDING
         claim = Claim(
@@ -207,25 +207,25 @@
             dispatch_deadline_s=call.deadline_s,
         )
         self._partition(call).batcher.add(claim, now_s)
-        self._wake(call, now_s)
+        self._schedule_review(call, now_s)
 
-    def _wait(self, call: Call, now_s: float) -> None:
+    def _start_waiting(self, call: Call, now_s: float) -> None:
         call.state = CallState.WAITING
         self._events.append(ClaimLost(call.call_id))
-        self._wake(call, now_s)
+        self._schedule_review(call, now_s)
 
-    def _wake(self, call: Call, now_s: float) -> None:
+    def _schedule_review(self, call: Call, now_s: float) -> None:
         if call.state is CallState.WON:
             return
         at_s = call.deadline_s
         if call.state is CallState.WAITING:
-            entry = self._partition(call).table.entry(call.key_id)
+            entry = self._partition(call).table.get_entry(call.key_id)
             if entry is not None and entry.holder is not None:
                 at_s = min(at_s, unknown_at_s(entry, self.settings))
         else:
             at_s = min(at_s, call.requested_at_s + self.settings.log_failing_limit_s)
-        soonest_s = now_s + _REVIEW_INTERVAL_S
-        self._calls.wake(call, max(at_s, min(soonest_s, call.deadline_s)))
+        earliest_s = now_s + _MIN_REVIEW_INTERVAL_S
+        self._calls.schedule_review(call, max(at_s, min(earliest_s, call.deadline_s)))
 
     def _review(self, call: Call, now_s: float) -> None:
         if call.state is CallState.WAITING:
@@ -234,22 +234,22 @@
             self._review_pending(call, now_s)
 
     def _review_waiting(self, call: Call, now_s: float) -> None:
-        if not self._may_get_result(call, now_s):
-            self._end(call, ClaimUnknown(call.call_id, Reason.HOLDER_LOST))
+        if not self._can_get_result(call, now_s):
+            self._end_call(call, ClaimUnknown(call.call_id, Reason.HOLDER_LOST))
         elif now_s >= call.deadline_s:
-            self._end(call, ClaimUnknown(call.call_id, Reason.IN_PROGRESS))
+            self._end_call(call, ClaimUnknown(call.call_id, Reason.IN_PROGRESS))
 
     def _review_pending(self, call: Call, now_s: float) -> None:
-        asked_long_ago_s = call.requested_at_s + self.settings.log_failing_limit_s
+        log_failing_limit_at_s = call.requested_at_s + self.settings.log_failing_limit_s
         partition = self._partition(call)
         if now_s >= call.deadline_s:
-            self._give_up(
+            self._end_pending(
                 call, ClaimRefused(call.call_id, Reason.DEADLINE, now_s), now_s
             )
-        elif partition.out_of_reach(call.deadline_s, now_s) or (
-            now_s > asked_long_ago_s and partition.failing(now_s)
+        elif partition.is_refusing_until(call.deadline_s, now_s) or (
+            now_s > log_failing_limit_at_s and partition.is_failing(now_s)
         ):
-            self._give_up(call, self._log_refusal(call, now_s), now_s)
+            self._end_pending(call, self._create_log_refusal(call, now_s), now_s)
 
     def _apply_verdict(self, call: Call, verdict: Verdict, now_s: float) -> None:
         call_id = call.call_id
@@ -258,73 +258,73 @@
             self._events.append(ClaimWon(call_id))
         elif verdict is Verdict.WON:
             self.release(call, now_s)
-            self._end(call, ClaimRefused(call_id, Reason.DEADLINE, now_s))
+            self._end_call(call, ClaimRefused(call_id, Reason.DEADLINE, now_s))
         elif verdict is Verdict.LOST:
-            self._lose(call, now_s)
+            self._handle_lost_claim(call, now_s)
         elif verdict is Verdict.KEY_REUSED:
-            self._end(call, ClaimRefused(call_id, Reason.KEY_REUSED, now_s))
+            self._end_call(call, ClaimRefused(call_id, Reason.KEY_REUSED, now_s))
         elif verdict is Verdict.TOO_LATE:
-            self._end(call, ClaimRefused(call_id, Reason.DEADLINE, now_s))
+            self._end_call(call, ClaimRefused(call_id, Reason.DEADLINE, now_s))
         else:
-            # Readers that saw more of the stream may count this claim as the winner.
+            # An instance that read more of the stream may let this claim win.
             self.release(call, now_s)
-            self._end(call, ClaimUnknown(call_id, Reason.KEY_TOO_OLD))
+            self._end_call(call, ClaimUnknown(call_id, Reason.KEY_TOO_OLD))
 
-    def _lose(self, call: Call, now_s: float) -> None:
+    def _handle_lost_claim(self, call: Call, now_s: float) -> None:
         call.state = CallState.WAITING
-        self._follow(call, now_s)
+        self._apply_key_state(call, now_s)
         if self._calls.get(call.call_id) is call and call.state is CallState.WAITING:
-            self._wait(call, now_s)
+            self._start_waiting(call, now_s)
 
-    def _follow(self, call: Call, now_s: float) -> None:
-        """Act on the state of the key that a call waits for."""
-        entry = self._partition(call).table.entry(call.key_id)
+    def _apply_key_state(self, call: Call, now_s: float) -> None:
+        """Update a waiting call according to the state of its key."""
+        entry = self._partition(call).table.get_entry(call.key_id)
         if entry is None:
-            self._end(call, ClaimUnknown(call.call_id, Reason.KEY_TOO_OLD))
+            self._end_call(call, ClaimUnknown(call.call_id, Reason.KEY_TOO_OLD))
         elif entry.holder is not None and not self._is_same_request(call):
-            # The key was released and taken for another request since.
-            self._end(call, ClaimRefused(call.call_id, Reason.KEY_REUSED, now_s))
+            # The key has since been released and claimed for another request.
+            self._end_call(call, ClaimRefused(call.call_id, Reason.KEY_REUSED, now_s))
         elif entry.answer is not None:
-            self._end(call, ClaimReplayed(call.call_id, entry.answer))
+            self._end_call(call, ClaimReplayed(call.call_id, entry.answer))
         elif entry.state is KeyState.FREE and now_s < call.deadline_s:
-            self._claim(call, now_s)
+            self._submit_claim(call, now_s)
         elif entry.state is KeyState.FREE:
-            self._end(call, ClaimRefused(call.call_id, Reason.DEADLINE, now_s))
-        elif not self._may_get_result(call, now_s):
-            self._end(call, ClaimUnknown(call.call_id, Reason.HOLDER_LOST))
+            self._end_call(call, ClaimRefused(call.call_id, Reason.DEADLINE, now_s))
+        elif not self._can_get_result(call, now_s):
+            self._end_call(call, ClaimUnknown(call.call_id, Reason.HOLDER_LOST))
 
-    def _drop_uncovered(self, partition: int, now_s: float) -> None:
+    def _end_uncovered_calls(self, partition: int, now_s: float) -> None:
         table = self._partitions[partition].table
-        for call in self._calls.of_partition(partition):
+        for call in self._calls.list_by_partition(partition):
             if call.state is CallState.WON or table.covers(call.key_created_at_s):
                 continue
             unknown = ClaimUnknown(call.call_id, Reason.KEY_TOO_OLD)
             if call.state is CallState.PENDING:
                 self._withdraw(call, now_s)
-            self._end(call, unknown)
+            self._end_call(call, unknown)
 
-    def _give_up(self, call: Call, refusal: ClaimRefused, now_s: float) -> None:
+    def _end_pending(self, call: Call, refusal: ClaimRefused, now_s: float) -> None:
         self._withdraw(call, now_s)
-        if self._is_held(call):
-            self._end(call, ClaimUnknown(call.call_id, Reason.IN_PROGRESS))
+        if self._is_held_by_other(call):
+            self._end_call(call, ClaimUnknown(call.call_id, Reason.IN_PROGRESS))
         else:
-            self._end(call, refusal)
+            self._end_call(call, refusal)
 
     def _withdraw(self, call: Call, now_s: float) -> None:
         if not self._partition(call).batcher.withdraw(call.claim_id):
             self.release(call, now_s)
 
-    def _end(self, call: Call, event: ClaimEvent) -> None:
+    def _end_call(self, call: Call, event: ClaimEvent) -> None:
         self._calls.remove(call)
         self._events.append(event)
 
     def _is_same_request(self, call: Call) -> bool:
-        holder = self._partition(call).table.entry(call.key_id).holder
-        return same_request(holder, call.fingerprint, call.tenant)
+        holder = self._partition(call).table.get_entry(call.key_id).holder
+        return is_same_request(holder, call.fingerprint, call.tenant)
 
     def _holds_key(self, call: Call) -> bool:
         table = self._partition(call).table
-        entry = table.entry(call.key_id)
+        entry = table.get_entry(call.key_id)
         if entry is None or entry.state is not KeyState.CLAIMED:
             return False
         held = entry.holder.claim_id == call.claim_id
--- a/packages/baobabring/baobabring/claims/tests/_models.py
+++ b/packages/baobabring/baobabring/claims/tests/_models.py
@@ -1,4 +1,4 @@
-"""Models of instances, calls and runs for the tests of histories."""
+"""Models of instances, calls and runs for the simulation of a fleet."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -8,7 +8,7 @@
 
 
 class AppendFate(Enum):
-    """Say what happens to an append and to its answer."""
+    """Represent what happens to an append and to its answer."""
 
     CONFIRMED = "confirmed"
     REFUSED = "refused"
@@ -17,8 +17,8 @@
     DELAYED = "delayed"
 
 
-class End(Enum):
-    """Say how a dispatched call ends."""
+class CallEnd(Enum):
+    """Represent how a call that won ends."""
 
     RESULT = "result"
     SHED = "shed"
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class CallModel:
-    """Hold what is true about one call."""
+    """Represent the true state of one call, as the simulation knows it."""
 
     call_id: str
     key: str
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class Run:
-    """Hold one run of a request at a target."""
+    """Represent one run of a request at a target."""
 
     fingerprint: bytes
     body: bytes
@@ -49,13 +49,13 @@
 
 @dataclass(slots=True)
 class InstanceModel:
-    """Hold one instance; its clock is off by a constant."""
+    """Represent one instance, whose clock has a constant offset."""
 
     number: int
     clock_offset_s: float
     claims: ClaimCoordinator | None = None
     calls: dict[str, CallModel] = field(default_factory=dict)
     ended_calls: list[CallModel] = field(default_factory=list)
-    read: tuple[Page, float] | None = None
+    pending_read: tuple[Page, float] | None = None
     settlement_ids: list[bytes] = field(default_factory=list)
     paused: bool = False
--- a/packages/baobabring/baobabring/claims/tests/_world.py
+++ b/packages/baobabring/baobabring/claims/tests/_simulation.py
@@ -1,4 +1,4 @@
-"""Several coordinators over one faulty log, with the truth about what ran."""
+"""Simulation of several coordinators on one faulty log, which records what ran."""
 
 from baobabring.claims import (
     ClaimLost,
@@ -13,8 +13,8 @@
 from baobabring.claims._table import KeyState
 from baobabring.claims.tests._models import (
     AppendFate,
+    CallEnd,
     CallModel,
-    End,
     InstanceModel,
     Run,
 )
@@ -22,9 +22,9 @@
     NOW_S,
     SETTINGS,
     StreamModel,
-    key_at,
-    payload_of,
-    seeded,
+    make_key,
+    make_payload,
+    make_rng,
 )
 from baobabring.model import Answer
 from baobabring.platform import (
@@ -38,8 +38,8 @@
 CLOCK_OFFSETS_S = (0.0, 0.25, -0.25)
 
 
-class World:
-    """Run instances step by step and check each step against the truth."""
+class FleetSimulation:
+    """Run instances step by step and check each step against what really ran."""
 
     def __init__(self, instances: int = 3) -> None:
         self.now_s = NOW_S
@@ -54,32 +54,32 @@
         for instance in self.instances:
             self.crash(instance)
 
-    def time_of(self, instance: InstanceModel) -> float:
-        """Return what an instance's clock shows."""
+    def get_local_time_s(self, instance: InstanceModel) -> float:
+        """Return the time on an instance's clock."""
         return self.now_s + instance.clock_offset_s
 
     def crash(self, instance: InstanceModel) -> None:
-        """Replace the process of an instance by a new one."""
+        """Replace the process of an instance by a new one, without its state."""
         self._created += 1
-        rng = seeded(self._created)
+        rng = make_rng(self._created)
         name = f"i{instance.number}"
         instance.claims = create_claim_coordinator(name, 1, SETTINGS, rng)
         instance.calls = {}
         instance.ended_calls = []
-        instance.read = None
+        instance.pending_read = None
         instance.settlement_ids = []
         instance.paused = False
 
     def running_instances(self) -> list[InstanceModel]:
-        """Return the instances that take steps."""
+        """Return the instances that are not paused."""
         return [instance for instance in self.instances if not instance.paused]
 
     def pause(self, instance: InstanceModel) -> None:
-        """Stop an instance between two steps; one goes on running."""
+        """Pause an instance, unless it is the last one running."""
         instance.paused = len(self.running_instances()) > 1
 
     def resume(self, instance: InstanceModel) -> None:
-        """Let an instance go on with what it was about to do."""
+        """Resume a paused instance and dispatch the calls it was about to dispatch."""
         if instance.paused:
             instance.paused = False
             self.dispatch_all(instance)
@@ -87,9 +87,9 @@
     def request(
         self, instance: InstanceModel, key: str, fingerprint: bytes, time_left_s: float
     ) -> None:
-        """Let a caller ask an instance to run a request."""
+        """Send a caller's request to an instance."""
         self._created += 1
-        now_s = self.time_of(instance)
+        now_s = self.get_local_time_s(instance)
         call = CallModel(f"c{self._created}", key, fingerprint, now_s + time_left_s)
         reply = instance.claims.request(
             call.call_id,
@@ -109,12 +109,14 @@
             instance.ended_calls.append(call)
 
     def append(self, instance: InstanceModel, fate: AppendFate) -> None:
-        """Let the log treat the appends of an instance in one way."""
-        now_s = self.time_of(instance)
-        for append in instance.claims.append_due(now_s):
+        """Make the due appends of an instance, all with the same fate."""
+        now_s = self.get_local_time_s(instance)
+        for append in instance.claims.pop_due_appends(now_s):
             outcome = self._append(append.payload, fate)
-            events = instance.claims.append_ended(append.append_id, outcome, now_s)
-            self._take(instance, events)
+            events = instance.claims.record_append_outcome(
+                append.append_id, outcome, now_s
+            )
+            self._process_events(instance, events)
 
     def _append(self, payload: bytes, fate: AppendFate):
         if fate is AppendFate.CONFIRMED:
@@ -127,38 +129,40 @@
             self.delayed.append(payload)
         return AppendUnconfirmed()
 
-    def land(self, index: int) -> None:
-        """Let a delayed append take effect."""
+    def flush_delayed_append(self, index: int) -> None:
+        """Store the payload of a delayed append in the log."""
         self.stream.append(self.delayed.pop(index), self.now_s)
 
-    def repeat(self, index: int) -> None:
+    def repeat_record(self, index: int) -> None:
         """Append a record of the log a second time."""
         self.stream.append(self.stream.records[index].payload, self.now_s)
 
-    def expire(self, offset: int) -> None:
-        """Forget the records before an offset."""
+    def expire_records(self, offset: int) -> None:
+        """Remove the records before an offset from the log."""
         self.stream.earliest_offset = max(self.stream.earliest_offset, offset)
 
     def start_read(self, instance: InstanceModel, limit: int) -> None:
-        """Let the log answer a read; the answer travels on."""
+        """Read from the log; `end_read` delivers the answer."""
         page = self.stream.page(instance.claims.next_offset(0), limit)
-        instance.read = (page, self.time_of(instance))
+        instance.pending_read = (page, self.get_local_time_s(instance))
 
     def end_read(self, instance: InstanceModel) -> None:
-        """Deliver the answer of a read."""
-        if instance.read is None:
+        """Deliver the answer of the pending read."""
+        if instance.pending_read is None:
             return
-        page, started_at_s = instance.read
-        instance.read = None
-        now_s = self.time_of(instance)
+        page, started_at_s = instance.pending_read
+        instance.pending_read = None
+        now_s = self.get_local_time_s(instance)
         events = instance.claims.apply_page(0, page, started_at_s, now_s)
-        self._take(instance, events)
+        self._process_events(instance, events)
 
     def fail_read(self, instance: InstanceModel) -> None:
-        """Let a read fail."""
-        now_s = self.time_of(instance)
+        """Report a failed read."""
+        now_s = self.get_local_time_s(instance)
         failed = ReadFailed("timeout")
-        self._take(instance, instance.claims.apply_page(0, failed, now_s, now_s))
+        self._process_events(
+            instance, instance.claims.apply_page(0, failed, now_s, now_s)
+        )
 
     def read_all(self, instance: InstanceModel) -> None:
         """Read to the end of the log."""
@@ -166,15 +170,17 @@
         self.end_read(instance)
 
     def tick(self, instance: InstanceModel) -> None:
-        """Tell an instance the time; no call outlives its deadline then."""
-        now_s = self.time_of(instance)
-        self._take(instance, instance.claims.tick(now_s))
+        """Tick an instance; check that no undecided call is past its deadline."""
+        now_s = self.get_local_time_s(instance)
+        self._process_events(instance, instance.claims.tick(now_s))
         for call in instance.calls.values():
             assert call.won or now_s < call.deadline_s, call
 
     def dispatch(self, instance: InstanceModel, call: CallModel) -> None:
-        """Send a call to a target if it may be sent."""
-        if not instance.claims.may_dispatch(call.call_id, self.time_of(instance)):
+        """Dispatch a call if that is allowed; check that its key runs only once."""
+        if not instance.claims.authorize_dispatch(
+            call.call_id, self.get_local_time_s(instance)
+        ):
             return
         assert call.won and not call.ended, call
         call.dispatched = True
@@ -182,72 +188,72 @@
         runs.append(Run(call.fingerprint, call.call_id.encode()))
         assert len(runs) <= 1, f"{call.key} ran {len(runs)} times"
 
-    def finish(self, instance: InstanceModel, call: CallModel, end: End) -> None:
-        """Let a call that won come to its end."""
+    def finish(self, instance: InstanceModel, call: CallModel, end: CallEnd) -> None:
+        """End a call that won."""
         del instance.calls[call.call_id]
         call.ended = True
         instance.ended_calls.append(call)
-        claims, now_s = instance.claims, self.time_of(instance)
-        if not call.dispatched or end is End.SHED:
+        claims, now_s = instance.claims, self.get_local_time_s(instance)
+        if not call.dispatched or end is CallEnd.SHED:
             if call.dispatched:
                 self.runs[call.key].pop()
-            claims.finish_release(call.call_id, now_s)
-        elif end is End.RESULT:
+            claims.finish_as_not_run(call.call_id, now_s)
+        elif end is CallEnd.RESULT:
             answer = Answer(200, (), self.runs[call.key][0].body)
-            claims.finish_result(call.call_id, answer, now_s)
-        elif end is End.UNDETERMINED:
-            claims.finish_undetermined(call.call_id, now_s)
+            claims.finish_with_result(call.call_id, answer, now_s)
+        elif end is CallEnd.UNDETERMINED:
+            claims.finish_as_undetermined(call.call_id, now_s)
         else:
             claims.cancel(call.call_id, now_s)
 
     def settle(self, instance: InstanceModel, key: str, settlement: Settlement) -> None:
-        """Let an operator settle a key; operators tell the truth."""
+        """Settle a key; operators never report NOT_RUN for a request that ran."""
         if settlement is Settlement.NOT_RUN and self.runs.get(key):
             return
-        now_s = self.time_of(instance)
+        now_s = self.get_local_time_s(instance)
         reply = instance.claims.settle(SERVICE, key, settlement, now_s)
         if hasattr(reply, "settlement_id"):
             instance.settlement_ids.append(reply.settlement_id)
 
     def settle_early(self, instance: InstanceModel, key: str) -> None:
-        """Append a true settlement that no instance has checked."""
-        entry = instance.claims._partitions[0].table.entry((SERVICE, key))
+        """Append a correct settlement to the log without the check by an instance."""
+        entry = instance.claims._partitions[0].table.get_entry((SERVICE, key))
         if entry is None or entry.holder is None or self.runs.get(key):
             return
         claim_id = entry.holder.claim_id
         record = Settled(b"early", claim_id, SERVICE, key, Settlement.NOT_RUN)
-        self.stream.append(payload_of(record), self.now_s)
+        self.stream.append(make_payload(record), self.now_s)
 
-    def check(self) -> None:
-        """Check that no ended call may run and that no key of a run is free."""
+    def check_ended_calls(self) -> None:
+        """Check that no ended call may be dispatched."""
         for instance in self.instances:
-            now_s = self.time_of(instance)
+            now_s = self.get_local_time_s(instance)
             for call in instance.ended_calls:
-                assert not instance.claims.may_dispatch(call.call_id, now_s), call
+                assert not instance.claims.authorize_dispatch(call.call_id, now_s), call
 
     def serve(
         self, instance: InstanceModel, key: str, fingerprint: bytes, time_left_s: float
     ) -> None:
-        """Ask for a key, without faults, and dispatch if that is allowed."""
+        """Request a key, append and read without faults, then dispatch if allowed."""
         self.request(instance, key, fingerprint, time_left_s)
         self.append(instance, AppendFate.CONFIRMED)
         self.read_all(instance)
         self.dispatch_all(instance)
 
     def dispatch_all(self, instance: InstanceModel) -> None:
-        """Send what an instance may send."""
+        """Dispatch the calls that an instance may dispatch."""
         for call in instance.calls.values():
             if call.won and not call.dispatched:
                 self.dispatch(instance, call)
 
-    def settle_down(self, keys: list[str]) -> None:
-        """End all faults, let time pass, then ask for each key everywhere again."""
+    def recover_and_check(self, keys: list[str]) -> None:
+        """End all faults, advance the time, then request each key at each instance."""
         self.delayed.clear()
         for instance in self.instances:
             self.resume(instance)
-        self._exchange()
+        self._run_rounds()
         self.now_s += 20
-        self._exchange()
+        self._run_rounds()
         for instance in self.instances:
             self._check_settled(instance)
         for instance in self.instances:
@@ -255,7 +261,7 @@
                 self.serve(instance, key, b"f", 5.0)
         self._check_new_key_runs()
 
-    def _exchange(self) -> None:
+    def _run_rounds(self) -> None:
         for _ in range(3):
             for instance in self.instances:
                 self.dispatch_all(instance)
@@ -264,7 +270,7 @@
                 self.append(instance, AppendFate.CONFIRMED)
 
     def _check_new_key_runs(self) -> None:
-        key = key_at(self.now_s, 999_999)
+        key = make_key(self.now_s, 999_999)
         self.now_s += 2
         self.serve(self.instances[0], key, b"f", 5.0)
         assert self.runs[key]
@@ -272,15 +278,15 @@
     def _check_settled(self, instance: InstanceModel) -> None:
         table = instance.claims._partitions[0].table
         for key_id in [(SERVICE, key) for key, runs in self.runs.items() if runs]:
-            entry = table.entry(key_id)
+            entry = table.get_entry(key_id)
             assert entry is None or entry.state is not KeyState.FREE, key_id
         for settlement_id in instance.settlement_ids:
-            state = instance.claims.settlement_state(settlement_id)
+            state = instance.claims.get_settlement_state(settlement_id)
             assert state is not SettlementState.REQUESTED or (
                 self.stream.earliest_offset > 0
             )
 
-    def _take(self, instance: InstanceModel, events) -> None:
+    def _process_events(self, instance: InstanceModel, events) -> None:
         for event in events:
             call = instance.calls[event.call_id]
             assert not call.won, event
--- a/packages/baobabring/baobabring/claims/tests/_support.py
+++ b/packages/baobabring/baobabring/claims/tests/_support.py
@@ -1,4 +1,4 @@
-"""Keys, records and pages for the tests of claims."""
+"""Helpers for the tests of claims: keys, records, streams and a harness."""
 
 import random
 
@@ -27,20 +27,20 @@
 )
 
 
-def key_at(created_at_s: float, number: int = 0) -> str:
-    """Return a UUIDv7 with a given time and a number in place of random bits."""
+def make_key(created_at_s: float, number: int = 0) -> str:
+    """Return a UUIDv7 with a creation time and a number instead of random bits."""
     milliseconds = f"{round(created_at_s * 1000):012x}"
     return f"{milliseconds[:8]}-{milliseconds[8:]}-7000-8000-{number:012x}"
 
 
-def claim_of(
+def make_claim(
     key: str,
     claim_id: bytes,
     deadline_s: float = NOW_S + 10,
     fingerprint: bytes = b"f",
     tenant: str = "default",
 ) -> Claim:
-    """Return a claim with what a test cares about."""
+    """Return a claim with defaults for the fields that a test doesn't set."""
     return Claim(
         claim_id=claim_id,
         service_id="pay",
@@ -55,13 +55,13 @@
     )
 
 
-def payload_of(*records: Record, batch_id: bytes = b"batch") -> bytes:
+def make_payload(*records: Record, batch_id: bytes = b"batch") -> bytes:
     """Return the payload of a batch."""
     return encode_batch(batch_id, [encode_record(record) for record in records])
 
 
 class StreamModel:
-    """Keep one stream in memory, with a first retained offset."""
+    """Store a log stream in memory; records before `earliest_offset` are expired."""
 
     def __init__(self) -> None:
         self.records: list[LogRecord] = []
@@ -80,21 +80,21 @@
         return Page(self.earliest_offset, len(self.records), records)
 
 
-def seeded(seed: int = 1) -> random.Random:
-    """Return a source of randomness with a fixed seed."""
+def make_rng(seed: int = 1) -> random.Random:
+    """Return a random number generator with a fixed seed."""
     return random.Random(seed)
 
 
-KEY = key_at(NOW_S)
+KEY = make_key(NOW_S)
 ANSWER = Answer(201, (("Content-Type", "text/plain"),), b"paid")
 
 
-class Instance:
-    """Drive one coordinator over a stream of its own or a shared one."""
+class InstanceHarness:
+    """Run one coordinator on its own or a shared stream."""
 
     def __init__(self, stream=None, seed=1):
         self.stream = stream or StreamModel()
-        self.claims = create_claim_coordinator("i1", 1, SETTINGS, seeded(seed))
+        self.claims = create_claim_coordinator("i1", 1, SETTINGS, make_rng(seed))
 
     def request(self, call_id, key=KEY, now_s=NOW_S, deadline_s=NOW_S + 10, **other):
         arguments = {"fingerprint": b"f", "tenant": "default"} | other
@@ -113,18 +113,20 @@
         page = self.stream.page(self.claims.next_offset(0))
         return self.claims.apply_page(0, page, now_s, now_s)
 
-    def append(self, now_s=NOW_S, outcome=None, lands=True):
+    def append(self, now_s=NOW_S, outcome=None, is_stored=True):
         events = []
-        for append in self.claims.append_due(now_s):
-            offset = self.stream.append(append.payload, now_s) if lands else 0
-            result = outcome or Appended(offset)
-            events += self.claims.append_ended(append.append_id, result, now_s)
+        for append in self.claims.pop_due_appends(now_s):
+            offset = self.stream.append(append.payload, now_s) if is_stored else 0
+            append_outcome = outcome or Appended(offset)
+            events += self.claims.record_append_outcome(
+                append.append_id, append_outcome, now_s
+            )
         return events
 
-    def put(self, *records, now_s=NOW_S):
-        self.stream.append(payload_of(*records), now_s)
+    def append_records(self, *records, now_s=NOW_S):
+        self.stream.append(make_payload(*records), now_s)
 
-    def win(self, call_id, **request):
+    def win_claim(self, call_id, **request):
         self.read()
         assert self.request(call_id, **request) == ClaimPending(call_id)
         self.append()
--- a/packages/baobabring/baobabring/claims/tests/test_coordinator.py
+++ b/packages/baobabring/baobabring/claims/tests/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Test what one coordinator tells its calls."""
+"""Test the replies and events of one coordinator."""
 
 import dataclasses
 
@@ -12,8 +12,8 @@
     ClaimUnknown,
     ClaimWon,
     KeptAnswer,
+    compute_partition,
     create_claim_coordinator,
-    partition_of,
 )
 from baobabring.claims._records import Release, Result, decode_batch
 from baobabring.claims.tests._support import (
@@ -21,47 +21,47 @@
     KEY,
     NOW_S,
     SETTINGS,
-    Instance,
+    InstanceHarness,
     StreamModel,
-    claim_of,
-    key_at,
-    seeded,
+    make_claim,
+    make_key,
+    make_rng,
 )
 from baobabring.model import Answer, Reason
 
 
 @pytest.fixture
 def instance():
-    return Instance()
+    return InstanceHarness()
 
 
 def test_claim_read_back_wins(instance):
-    instance.win("a")
-    assert instance.claims.may_dispatch("a", NOW_S)
+    instance.win_claim("a")
+    assert instance.claims.authorize_dispatch("a", NOW_S)
 
 
 def test_nothing_is_appended_before_the_stream_was_read(instance):
     instance.request("a")
-    assert instance.claims.append_due(NOW_S) == []
+    assert instance.claims.pop_due_appends(NOW_S) == []
 
 
 def test_winner_may_not_dispatch_after_its_deadline(instance):
-    instance.win("a")
-    assert not instance.claims.may_dispatch("a", NOW_S + 10)
+    instance.win_claim("a")
+    assert not instance.claims.authorize_dispatch("a", NOW_S + 10)
 
 
 def test_winner_may_not_dispatch_after_the_window(instance):
-    instance.win("a", deadline_s=NOW_S + 100)
-    assert not instance.claims.may_dispatch("a", NOW_S + 60.1)
+    instance.win_claim("a", deadline_s=NOW_S + 100)
+    assert not instance.claims.authorize_dispatch("a", NOW_S + 60.1)
 
 
 def test_winner_may_not_dispatch_after_a_gap(instance):
-    instance.win("a")
-    instance.put(now_s=NOW_S + 2)
-    instance.put(now_s=NOW_S + 2)
+    instance.win_claim("a")
+    instance.append_records(now_s=NOW_S + 2)
+    instance.append_records(now_s=NOW_S + 2)
     instance.stream.earliest_offset = 2
     instance.read(NOW_S + 2)
-    assert not instance.claims.may_dispatch("a", NOW_S + 2)
+    assert not instance.claims.authorize_dispatch("a", NOW_S + 2)
 
 
 def test_claim_read_back_after_its_deadline_is_released(instance):
@@ -76,11 +76,11 @@
 
 
 def test_second_call_of_a_key_gets_the_answer_of_the_first(instance):
-    instance.win("a")
+    instance.win_claim("a")
     assert instance.request("b") == ClaimPending("b")
     assert instance.claims.tick(NOW_S) == [ClaimLost("b")]
-    assert instance.claims.may_dispatch("a", NOW_S)
-    instance.claims.finish_result("a", ANSWER, NOW_S)
+    assert instance.claims.authorize_dispatch("a", NOW_S)
+    instance.claims.finish_with_result("a", ANSWER, NOW_S)
     instance.append()
     kept = KeptAnswer(201, ANSWER.headers, b"paid", None)
     assert instance.read() == [ClaimReplayed("b", kept)]
@@ -88,9 +88,9 @@
 
 
 def test_large_body_is_kept_as_digest(instance):
-    instance.win("a")
+    instance.win_claim("a")
     answer = Answer(200, (), b"x" * (SETTINGS.body_limit_bytes + 1))
-    instance.claims.finish_result("a", answer, NOW_S)
+    instance.claims.finish_with_result("a", answer, NOW_S)
     instance.append()
     instance.read()
     kept = instance.request("b").answer
@@ -99,19 +99,19 @@
 
 @pytest.mark.parametrize("other", [{"fingerprint": b"g"}, {"tenant": "other"}])
 def test_key_of_another_request_is_refused(instance, other):
-    instance.win("a")
+    instance.win_claim("a")
     refused = ClaimRefused("b", Reason.KEY_REUSED, NOW_S)
     assert instance.request("b", **other) == refused
-    instance.claims.finish_result("a", ANSWER, NOW_S)
+    instance.claims.finish_with_result("a", ANSWER, NOW_S)
     instance.append()
     instance.read()
     assert instance.request("b", **other) == refused
 
 
 def test_waiting_call_claims_again_after_a_release(instance):
-    instance.win("a")
+    instance.win_claim("a")
     instance.request("b")
-    instance.claims.finish_release("a", NOW_S)
+    instance.claims.finish_as_not_run("a", NOW_S)
     instance.append()
     instance.read()
     instance.append()
@@ -120,19 +120,19 @@
 
 def test_waiting_call_never_gets_the_answer_to_another_request(instance):
     instance.read()
-    instance.put(claim_of(KEY, b"1"))
+    instance.append_records(make_claim(KEY, b"1"))
     instance.request("b")
     instance.append()
-    instance.put(
+    instance.append_records(
         Release(b"1", "pay", KEY),
-        claim_of(KEY, b"2", tenant="other"),
+        make_claim(KEY, b"2", tenant="other"),
         Result(b"2", "pay", KEY, 200, (), b"private", None),
     )
     assert instance.read() == [ClaimRefused("b", Reason.KEY_REUSED, NOW_S)]
 
 
 def test_waiting_call_ends_at_its_deadline_as_unknown(instance):
-    instance.win("a", deadline_s=NOW_S + 20)
+    instance.win_claim("a", deadline_s=NOW_S + 20)
     instance.request("b")
     instance.claims.tick(NOW_S)
     events = instance.claims.tick(NOW_S + 10)
@@ -140,18 +140,18 @@
 
 
 def test_waiting_call_ends_when_the_holder_is_lost(instance):
-    instance.win("a", deadline_s=NOW_S + 1)
+    instance.win_claim("a", deadline_s=NOW_S + 1)
     instance.request("b")
     instance.claims.tick(NOW_S)
     events = instance.claims.tick(NOW_S + 2.1)
     assert events == [ClaimUnknown("b", Reason.HOLDER_LOST)]
 
 
-def test_waiting_call_ends_when_the_holder_does_not_know(instance):
-    instance.win("a")
+def test_waiting_call_ends_when_the_outcome_is_undetermined(instance):
+    instance.win_claim("a")
     instance.request("b")
     instance.claims.tick(NOW_S)
-    instance.claims.finish_undetermined("a", NOW_S)
+    instance.claims.finish_as_undetermined("a", NOW_S)
     instance.append()
     assert instance.read() == [ClaimUnknown("b", Reason.HOLDER_LOST)]
     assert instance.request("c") == ClaimUnknown("c", Reason.HOLDER_LOST)
@@ -163,54 +163,54 @@
     events = instance.claims.tick(NOW_S + 10)
     assert events == [ClaimRefused("a", Reason.DEADLINE, NOW_S + 10)]
     instance.read(NOW_S + 10)
-    assert instance.claims.append_due(NOW_S + 10) == []
+    assert instance.claims.pop_due_appends(NOW_S + 10) == []
 
 
 def test_key_older_than_the_window_is_unknown(instance):
     instance.read()
-    reply = instance.request("a", key=key_at(NOW_S - 61))
+    reply = instance.request("a", key=make_key(NOW_S - 61))
     assert reply == ClaimUnknown("a", Reason.KEY_TOO_OLD)
 
 
-def test_key_older_than_the_coverage_is_unknown(instance):
-    instance.put(now_s=NOW_S)
+def test_key_older_than_the_covered_time_is_unknown(instance):
+    instance.append_records(now_s=NOW_S)
     instance.stream.earliest_offset = 1
     instance.read()
-    reply = instance.request("a", key=key_at(NOW_S + 0.9))
+    reply = instance.request("a", key=make_key(NOW_S + 0.9))
     assert reply == ClaimUnknown("a", Reason.KEY_TOO_OLD)
 
 
-def test_key_that_is_no_uuid7_is_refused(instance):
+def test_key_other_than_uuid7_is_refused(instance):
     reply = instance.request("a", key="payment-1")
     assert reply == ClaimRefused("a", Reason.KEY_INVALID, NOW_S)
 
 
-def test_no_body_at_all_may_be_kept():
+def test_body_limit_may_be_zero():
     settings = dataclasses.replace(SETTINGS, body_limit_bytes=0)
     settings.check()
     with pytest.raises(ValueError, match="body_limit_bytes must be from 0 to"):
         dataclasses.replace(SETTINGS, body_limit_bytes=-1).check()
 
 
-def test_keys_of_each_partition_go_to_its_stream():
-    claims = create_claim_coordinator("i1", 4, SETTINGS, seeded())
+def test_claims_are_appended_to_the_partition_of_their_key():
+    claims = create_claim_coordinator("i1", 4, SETTINGS, make_rng())
     for partition in range(4):
         claims.apply_page(partition, StreamModel().page(0), NOW_S, NOW_S)
     for number in range(32):
-        key = key_at(NOW_S, number)
+        key = make_key(NOW_S, number)
         call_id = f"c{number}"
         claims.request(
             call_id, "pay", key, b"f", "default", "POST", "/", NOW_S + 5, NOW_S
         )
-    for append in claims.append_due(NOW_S):
+    for append in claims.pop_due_appends(NOW_S):
         records = decode_batch(append.payload)[0].records
-        partitions = {partition_of("pay", record.key, 4) for record in records}
+        partitions = {compute_partition("pay", record.key, 4) for record in records}
         assert partitions == {append.partition}
 
 
-def test_settings_out_of_range_are_an_error():
+def test_settings_out_of_range_raise_an_error():
     settings = dataclasses.replace(SETTINGS, window_s=0.0)
     with pytest.raises(ValueError, match="window_s must be positive, got 0.0"):
-        create_claim_coordinator("i1", 1, settings, seeded())
+        create_claim_coordinator("i1", 1, settings, make_rng())
     with pytest.raises(ValueError, match="partitions must be at least 1, got 0"):
-        create_claim_coordinator("i1", 0, SETTINGS, seeded())
+        create_claim_coordinator("i1", 0, SETTINGS, make_rng())
--- a/packages/baobabring/baobabring/claims/tests/test_partition.py
+++ b/packages/baobabring/baobabring/claims/tests/test_partition.py
@@ -1,4 +1,4 @@
-"""Test one partition whose log fails."""
+"""Test one partition with a failing log."""
 
 import dataclasses
 
@@ -11,7 +11,7 @@
 from baobabring.claims.tests._support import (
     ANSWER,
     NOW_S,
-    Instance,
+    InstanceHarness,
 )
 from baobabring.model import Reason
 from baobabring.platform import (
@@ -23,39 +23,39 @@
 
 @pytest.fixture
 def instance():
-    return Instance()
+    return InstanceHarness()
 
 
-def test_log_that_can_not_be_read_refuses_at_once(instance):
+def test_call_is_refused_at_once_when_reads_fail(instance):
     instance.read()
     instance.claims.apply_page(0, ReadFailed("timeout"), NOW_S, NOW_S + 2.1)
     reply = instance.request("a", now_s=NOW_S + 2.1)
     assert reply == ClaimRefused("a", Reason.LOG_UNAVAILABLE, NOW_S + 2.6)
 
 
-def test_log_that_takes_no_appends_refuses_at_once(instance):
+def test_call_is_refused_at_once_when_appends_fail(instance):
     instance.read()
     instance.request("a")
-    instance.append(outcome=AppendUnconfirmed(), lands=False)
+    instance.append(outcome=AppendUnconfirmed(), is_stored=False)
     page = instance.stream.page(0)
     instance.claims.apply_page(0, page, NOW_S - 1, NOW_S + 2.1)
     reply = instance.request("b", now_s=NOW_S + 2.1)
     assert reply == ClaimRefused("b", Reason.LOG_UNAVAILABLE, NOW_S + 2.6)
 
 
-def test_log_that_refuses_past_the_deadline_ends_the_call(instance):
+def test_call_ends_when_the_log_refuses_appends_past_its_deadline(instance):
     instance.read()
     instance.request("a")
-    events = instance.append(outcome=AppendRefused(NOW_S + 30), lands=False)
+    events = instance.append(outcome=AppendRefused(NOW_S + 30), is_stored=False)
     refused = ClaimRefused("a", Reason.LOG_UNAVAILABLE, NOW_S + 30)
     assert events == [refused]
     assert instance.request("b") == dataclasses.replace(refused, call_id="b")
 
 
-def test_log_is_tried_again_once_nothing_waits(instance):
+def test_appends_are_tried_again_once_nothing_is_queued(instance):
     instance.read()
     instance.request("a")
-    instance.append(outcome=AppendRefused(NOW_S + 1), lands=False)
+    instance.append(outcome=AppendRefused(NOW_S + 1), is_stored=False)
     instance.claims.cancel("a", NOW_S + 3)
     instance.read(NOW_S + 3)
     instance.append(NOW_S + 3)
@@ -68,13 +68,13 @@
     assert next_append_at_s(NOW_S) is None
     instance.read()
     assert next_append_at_s(NOW_S) == NOW_S
-    instance.append(outcome=AppendRefused(NOW_S + 1), lands=False)
+    instance.append(outcome=AppendRefused(NOW_S + 1), is_stored=False)
     assert next_append_at_s(NOW_S) == NOW_S + 1
 
 
 def test_instance_is_idle_once_its_records_are_in_the_log(instance):
-    instance.win("a")
-    instance.claims.finish_result("a", ANSWER, NOW_S)
+    instance.win_claim("a")
+    instance.claims.finish_with_result("a", ANSWER, NOW_S)
     assert not instance.claims.idle
     instance.append()
     assert instance.claims.idle
--- a/packages/baobabring/baobabring/claims/tests/test_settlements.py
+++ b/packages/baobabring/baobabring/claims/tests/test_settlements.py
@@ -13,21 +13,21 @@
     ANSWER,
     KEY,
     NOW_S,
-    Instance,
+    InstanceHarness,
     StreamModel,
-    claim_of,
-    payload_of,
+    make_claim,
+    make_payload,
 )
 
 
 @pytest.fixture
 def instance():
-    return Instance()
+    return InstanceHarness()
 
 
 def test_cancelled_call_that_was_dispatched_is_undetermined(instance):
-    instance.win("a")
-    assert instance.claims.may_dispatch("a", NOW_S)
+    instance.win_claim("a")
+    assert instance.claims.authorize_dispatch("a", NOW_S)
     instance.claims.cancel("a", NOW_S)
     instance.append()
     instance.read()
@@ -35,7 +35,7 @@
 
 
 def test_claim_without_result_becomes_an_unknown_outcome(instance):
-    instance.put(claim_of(KEY, b"1"))
+    instance.append_records(make_claim(KEY, b"1"))
     instance.read()
     assert instance.claims.unknown_outcomes(NOW_S + 11) == []
     (outcome,) = instance.claims.unknown_outcomes(NOW_S + 11.1)
@@ -43,13 +43,13 @@
 
 
 def test_settlement_not_run_frees_the_key(instance):
-    instance.put(claim_of(KEY, b"1"))
+    instance.append_records(make_claim(KEY, b"1"))
     instance.read()
     settle = instance.claims.settle
     early = settle("pay", KEY, Settlement.NOT_RUN, NOW_S + 12)
     assert early == NotSettleable(NotSettleableReason.MAY_STILL_RUN)
     requested = settle("pay", KEY.upper(), Settlement.NOT_RUN, NOW_S + 12.1)
-    state = instance.claims.settlement_state
+    state = instance.claims.get_settlement_state
     assert state(requested.settlement_id) is SettlementState.REQUESTED
     instance.append(NOW_S + 12.1)
     instance.read(NOW_S + 12.1)
@@ -58,10 +58,10 @@
     assert instance.request("b", **later) == ClaimPending("b")
 
 
-def test_races_of_settlements_end_with_one_accepted():
+def test_only_one_of_two_concurrent_settlements_is_accepted():
     stream = StreamModel()
-    stream.append(payload_of(claim_of(KEY, b"1")), NOW_S)
-    both = [Instance(stream, seed=1), Instance(stream, seed=2)]
+    stream.append(make_payload(make_claim(KEY, b"1")), NOW_S)
+    both = [InstanceHarness(stream, seed=1), InstanceHarness(stream, seed=2)]
     for instance in both:
         instance.read()
     wanted = [Settlement.RAN, Settlement.NOT_RUN]
@@ -74,15 +74,15 @@
     for instance in both:
         instance.read(NOW_S + 20)
     states = [
-        instance.claims.settlement_state(request.settlement_id)
+        instance.claims.get_settlement_state(request.settlement_id)
         for instance, request in zip(both, requested, strict=True)
     ]
     assert states == [SettlementState.ACCEPTED, SettlementState.REJECTED]
 
 
 def test_known_outcome_is_not_settleable(instance):
-    instance.win("a")
-    instance.claims.finish_result("a", ANSWER, NOW_S)
+    instance.win_claim("a")
+    instance.claims.finish_with_result("a", ANSWER, NOW_S)
     instance.append()
     instance.read()
     reply = instance.claims.settle("pay", KEY, Settlement.RAN, NOW_S + 100)
--- a/packages/baobabring/baobabring/program/_claims_task.py
+++ b/packages/baobabring/baobabring/program/_claims_task.py
@@ -7,7 +7,7 @@
     AppendRequest,
     ClaimCoordinator,
     ClaimEvent,
-    stream_of,
+    get_stream_name,
 )
 from baobabring.platform import EventLog, ReadFailed
 from baobabring.program._metrics import count_append
@@ -54,13 +54,13 @@
 
     def flush(self) -> None:
         """Start the appends that are due."""
-        for request in self.claims.append_due(self.clock.now_s()):
+        for request in self.claims.pop_due_appends(self.clock.now_s()):
             task = asyncio.ensure_future(self._append(request))
             self._appends.add(task)
             task.add_done_callback(self._appends.discard)
 
     async def _read(self, partition: int) -> None:
-        stream = stream_of(partition)
+        stream = get_stream_name(partition)
         while True:
             started_at_s = self.clock.now_s()
             offset = self.claims.next_offset(partition)
@@ -73,10 +73,12 @@
                 await asyncio.sleep(READ_RETRY_S)
 
     async def _append(self, request: AppendRequest) -> None:
-        stream = stream_of(request.partition)
+        stream = get_stream_name(request.partition)
         deadline_s = self.clock.now_s() + APPEND_LIMIT_S
         outcome = await self.log.append(stream, request.payload, deadline_s)
         count_append(stream, outcome)
         now_s = self.clock.now_s()
-        self._handler(self.claims.append_ended(request.append_id, outcome, now_s))
+        self._handler(
+            self.claims.record_append_outcome(request.append_id, outcome, now_s)
+        )
         self.flush()
--- a/packages/baobabring/baobabring/program/_control_plane.py
+++ b/packages/baobabring/baobabring/program/_control_plane.py
@@ -5,8 +5,8 @@
 from baobabring.claims import (
     ClaimCoordinator,
     Settlement,
+    SettlementRequested,
     SettlementState,
-    SettleRequested,
     UnknownOutcome,
 )
 from baobabring.configuration import Change
@@ -106,11 +106,11 @@
     ) -> SettlementOutcome:
         """Record what became of a call whose outcome is unknown."""
         requested = self.claims.settle(service_id, key, settlement, self.clock.now_s())
-        if not isinstance(requested, SettleRequested):
+        if not isinstance(requested, SettlementRequested):
             return NotSettleable(requested.reason.value)
         while self.clock.now_s() < deadline_s:
             self.claims_task.flush()
-            state = self.claims.settlement_state(requested.settlement_id)
+            state = self.claims.get_settlement_state(requested.settlement_id)
             if state is SettlementState.ACCEPTED:
                 return Settled()
             if state is SettlementState.REJECTED:
