--- a/benchmarks/capacity_admission.py
+++ b/benchmarks/capacity_admission.py
@@ -6,7 +6,7 @@
     ADMISSION_QUEUES,
     AdmissionQueue,
     AdmissionSettings,
-    Waiting,
+    WaitingCall,
     create_admission_queue,
 )
 from baobabring.retries import create_retry_budget
@@ -17,9 +17,9 @@
 NOW_S = 1000.0
 
 
-def make_call(number: int) -> Waiting:
+def make_call(number: int) -> WaitingCall:
     """Return a call that can wait for long."""
-    return Waiting(
+    return WaitingCall(
         f"call-{number}",
         "menu",
         f"tenant-{number % TENANTS}",
@@ -49,7 +49,7 @@
         nonlocal number
         queue.offer(make_call(number), NOW_S)
         queue.expire(NOW_S)
-        queue.take("menu", NOW_S)
+        queue.pop_next("menu", NOW_S)
         number += 1
 
     return step
--- a/benchmarks/capacity_membership.py
+++ b/benchmarks/capacity_membership.py
@@ -42,7 +42,7 @@
     listed = make_list(instances)
     view.apply_list(listed, NOW_S)
     for info in listed:
-        view.heard(make_heartbeat(info, 1), NOW_S)
+        view.record_heartbeat(make_heartbeat(info, 1), NOW_S)
     return view
 
 
@@ -56,14 +56,14 @@
         nonlocal sequence
         sequence += 1
         for info in listed:
-            view.heard(make_heartbeat(info, sequence), NOW_S)
+            view.record_heartbeat(make_heartbeat(info, sequence), NOW_S)
 
     return hear
 
 
 def main() -> None:
     """Print the slopes."""
-    calls = ("live", "members", "silent_peers", "reachable_share")
+    calls = ("live", "members", "suspected_peers", "reachable_share")
     slopes = [
         time_slope(
             f"{call}, each instance",
--- a/packages/baobabring/baobabring/admission/_fair.py
+++ b/packages/baobabring/baobabring/admission/_fair.py
@@ -1,4 +1,4 @@
-"""Strict priorities, and turns between the tenants inside one priority."""
+"""Queue with strict priorities and round-robin between tenants of one priority."""
 
 import random
 
@@ -6,79 +6,81 @@
     ADMISSION_QUEUES,
     AdmissionQueue,
     AdmissionSettings,
-    Displaced,
-    Offered,
+    Evicted,
+    OfferResult,
     Queued,
     Refused,
-    Waiting,
+    WaitingCall,
 )
-from baobabring.admission._turns import ServiceTurns
+from baobabring.admission._round_robin import RoundRobinQueue
 
 
 @ADMISSION_QUEUES.register("fair")
 class FairQueue(AdmissionQueue):
-    """Serve lower priority values first and tenants of one priority by turns.
+    """Serve lower priority values first and tenants of one priority in rotation.
 
-    A tenant's calls wait in a queue of their own, so a tenant that sends much adds
-    at most one call in each round to the wait of another.
+    Each tenant has its own queue, so a tenant with many calls delays another tenant
+    by at most one call per round.
     """
 
     def __init__(self, settings: AdmissionSettings, rng: random.Random) -> None:
         super().__init__(settings, rng)
-        self._services: dict[str, ServiceTurns] = {}
+        self._services: dict[str, RoundRobinQueue] = {}
 
-    def _admit(self, waiting: Waiting, now_s: float) -> Offered:
-        turns = self._services.setdefault(waiting.service_id, ServiceTurns())
-        position = turns.position(waiting.priority, waiting.tenant)
-        if not self._in_time(waiting, position, now_s):
+    def _admit(self, waiting: WaitingCall, now_s: float) -> OfferResult:
+        queue = self._services.setdefault(waiting.service_id, RoundRobinQueue())
+        position = queue.next_position(waiting.priority, waiting.tenant)
+        if not self._can_meet_deadline(waiting, position, now_s):
             return self._refuse(waiting, now_s)
-        displaced: tuple[Displaced, ...] = ()
-        if self._is_full(turns, waiting.tenant):
-            victim = self._victim(turns, waiting)
+        evicted: tuple[Evicted, ...] = ()
+        if self._is_full(queue, waiting.tenant):
+            victim = self._find_victim(queue, waiting)
             if victim is None:
                 return self._refuse(waiting, now_s)
-            displaced = (self._displace(turns, victim, now_s),)
-        turns.append(waiting)
-        return Queued(turns.position_of_last(waiting), displaced)
-
-    def _is_full(self, turns: ServiceTurns, tenant: str) -> bool:
-        tenant_full = turns.tenant_length(tenant) >= self.settings.tenant_limit
-        return tenant_full or len(turns) >= self.settings.service_limit
-
-    def _victim(self, turns: ServiceTurns, waiting: Waiting) -> Waiting | None:
-        if turns.tenant_length(waiting.tenant) >= self.settings.tenant_limit:
-            return turns.last_below(waiting.priority, waiting.tenant)
-        lower = turns.last_of_longest_below(waiting.priority)
+            evicted = (self._evict(queue, victim, now_s),)
+        queue.append(waiting)
+        return Queued(queue.position_of_last(waiting), evicted)
+
+    def _is_full(self, queue: RoundRobinQueue, tenant: str) -> bool:
+        tenant_full = queue.tenant_length(tenant) >= self.settings.tenant_limit
+        return tenant_full or len(queue) >= self.settings.service_limit
+
+    def _find_victim(
+        self, queue: RoundRobinQueue, waiting: WaitingCall
+    ) -> WaitingCall | None:
+        if queue.tenant_length(waiting.tenant) >= self.settings.tenant_limit:
+            return queue.find_victim_of_tenant(waiting.priority, waiting.tenant)
+        lower = queue.find_victim_below(waiting.priority)
         if lower is not None:
             return lower
-        return turns.last_of_longer(waiting.priority, waiting.tenant)
+        return queue.find_victim_of_longer_queue(waiting.priority, waiting.tenant)
 
-    def _displace(
-        self, turns: ServiceTurns, victim: Waiting, now_s: float
-    ) -> Displaced:
-        turns.remove(victim)
+    def _evict(
+        self, queue: RoundRobinQueue, victim: WaitingCall, now_s: float
+    ) -> Evicted:
+        queue.remove(victim)
         del self._calls[victim.call_id]
-        return Displaced(victim.call_id, self.retry_at_s(victim.service_id, now_s))
+        return Evicted(victim.call_id, self.retry_at_s(victim.service_id, now_s))
 
-    def _refuse(self, waiting: Waiting, now_s: float) -> Refused:
+    def _refuse(self, waiting: WaitingCall, now_s: float) -> Refused:
         return Refused(self.retry_at_s(waiting.service_id, now_s))
 
-    def _next(self, service_id: str) -> Waiting | None:
-        turns = self._services.get(service_id)
-        return turns.pop() if turns else None
+    def _pop_next(self, service_id: str) -> WaitingCall | None:
+        queue = self._services.get(service_id)
+        return queue.pop() if queue else None
 
-    def _return(self, waiting: Waiting) -> None:
-        turns = self._services.setdefault(waiting.service_id, ServiceTurns())
-        turns.prepend(waiting)
+    def _prepend(self, waiting: WaitingCall) -> None:
+        queue = self._services.setdefault(waiting.service_id, RoundRobinQueue())
+        queue.prepend(waiting)
 
-    def _discard(self, waiting: Waiting) -> None:
+    def _discard(self, waiting: WaitingCall) -> None:
         self._services[waiting.service_id].remove(waiting)
 
     def backlog(self, service_id: str) -> int:
         """Return the number of calls that wait for the service."""
-        turns = self._services.get(service_id)
-        return len(turns) if turns is not None else 0
+        queue = self._services.get(service_id)
+        return len(queue) if queue is not None else 0
 
     def waiting_services(self) -> list[str]:
         """Return the services for which calls wait."""
-        return [service_id for service_id, turns in self._services.items() if turns]
+        return [service_id for service_id, queue in self._services.items() if queue]
--- a/packages/baobabring/baobabring/admission/_fifo.py
+++ b/packages/baobabring/baobabring/admission/_fifo.py
@@ -1,4 +1,4 @@
-"""First come, first served: the baseline."""
+"""First-in, first-out queue, the baseline."""
 
 import random
 from collections import deque
@@ -7,38 +7,38 @@
     ADMISSION_QUEUES,
     AdmissionQueue,
     AdmissionSettings,
-    Offered,
+    OfferResult,
     Queued,
     Refused,
-    Waiting,
+    WaitingCall,
 )
 
 
 @ADMISSION_QUEUES.register("fifo")
 class FifoQueue(AdmissionQueue):
-    """Serve calls in the order of their arrival, blind to tenant and priority."""
+    """Serve calls in the order of arrival, whatever their tenant and priority."""
 
     def __init__(self, settings: AdmissionSettings, rng: random.Random) -> None:
         super().__init__(settings, rng)
-        self._queues: dict[str, deque[Waiting]] = {}
+        self._queues: dict[str, deque[WaitingCall]] = {}
 
-    def _admit(self, waiting: Waiting, now_s: float) -> Offered:
+    def _admit(self, waiting: WaitingCall, now_s: float) -> OfferResult:
         queue = self._queues.setdefault(waiting.service_id, deque())
         position = len(queue) + 1
         full = len(queue) >= self.settings.service_limit
-        if full or not self._in_time(waiting, position, now_s):
+        if full or not self._can_meet_deadline(waiting, position, now_s):
             return Refused(self.retry_at_s(waiting.service_id, now_s))
         queue.append(waiting)
         return Queued(position)
 
-    def _next(self, service_id: str) -> Waiting | None:
+    def _pop_next(self, service_id: str) -> WaitingCall | None:
         queue = self._queues.get(service_id)
         return queue.popleft() if queue else None
 
-    def _return(self, waiting: Waiting) -> None:
+    def _prepend(self, waiting: WaitingCall) -> None:
         self._queues.setdefault(waiting.service_id, deque()).appendleft(waiting)
 
-    def _discard(self, waiting: Waiting) -> None:
+    def _discard(self, waiting: WaitingCall) -> None:
         self._queues[waiting.service_id].remove(waiting)
 
     def backlog(self, service_id: str) -> int:
--- a/packages/baobabring/baobabring/admission/_turns.py
+++ b/packages/baobabring/baobabring/admission/_round_robin.py
@@ -1,17 +1,17 @@
-"""Waiting calls of one service by priority and tenant."""
+"""Round-robin queue of the waiting calls of one service."""
 
 from collections import Counter, OrderedDict, deque
 
-from baobabring.admission._base import Waiting
+from baobabring.admission._base import WaitingCall
 
-Level = OrderedDict[str, deque[Waiting]]
+PriorityLevel = OrderedDict[str, deque[WaitingCall]]
 
 
-class ServiceTurns:
-    """Keep one queue for each priority and tenant; the first tenant's turn is next."""
+class RoundRobinQueue:
+    """Store one queue per priority and tenant; the first tenant is served next."""
 
     def __init__(self) -> None:
-        self._levels: dict[int, Level] = {}
+        self._levels: dict[int, PriorityLevel] = {}
         self._tenant_lengths: Counter[str] = Counter()
         self._length = 0
 
@@ -19,35 +19,35 @@
         return self._length
 
     def tenant_length(self, tenant: str) -> int:
-        """Return how many calls of the tenant wait, in all priorities."""
+        """Return the number of waiting calls of the tenant, in all priorities."""
         return self._tenant_lengths[tenant]
 
-    def position(self, priority: int, tenant: str) -> int:
-        """Return the position, from 1, of a next call of the tenant."""
+    def next_position(self, priority: int, tenant: str) -> int:
+        """Return the position, from 1, that a new call of the tenant would get."""
         level = self._levels.get(priority, OrderedDict())
         own = len(level.get(tenant, ()))
-        return self._ahead(priority, tenant, own) + 1
+        return self._count_ahead(priority, tenant, own) + 1
 
-    def position_of_last(self, waiting: Waiting) -> int:
+    def position_of_last(self, waiting: WaitingCall) -> int:
         """Return the position, from 1, of the tenant's last call."""
         own = len(self._levels[waiting.priority][waiting.tenant]) - 1
-        return self._ahead(waiting.priority, waiting.tenant, own) + 1
+        return self._count_ahead(waiting.priority, waiting.tenant, own) + 1
 
-    def append(self, waiting: Waiting) -> None:
-        """Add a call behind those of its tenant."""
+    def append(self, waiting: WaitingCall) -> None:
+        """Add a call behind its tenant's other calls."""
         level = self._levels.setdefault(waiting.priority, OrderedDict())
         level.setdefault(waiting.tenant, deque()).append(waiting)
         self._count(waiting, 1)
 
-    def prepend(self, waiting: Waiting) -> None:
-        """Add a call ahead of its tenant's and give the tenant the next turn."""
+    def prepend(self, waiting: WaitingCall) -> None:
+        """Add a call ahead of its tenant's other calls and serve the tenant next."""
         level = self._levels.setdefault(waiting.priority, OrderedDict())
         level.setdefault(waiting.tenant, deque()).appendleft(waiting)
         level.move_to_end(waiting.tenant, last=False)
         self._count(waiting, 1)
 
-    def pop(self) -> Waiting | None:
-        """Remove and return the call whose turn it is."""
+    def pop(self) -> WaitingCall | None:
+        """Remove and return the next call."""
         if not self._levels:
             return None
         level = self._levels[min(self._levels)]
@@ -58,13 +58,13 @@
         self._count(waiting, -1)
         return waiting
 
-    def remove(self, waiting: Waiting) -> None:
+    def remove(self, waiting: WaitingCall) -> None:
         """Remove a waiting call."""
         self._levels[waiting.priority][waiting.tenant].remove(waiting)
         self._drop_empty(waiting)
         self._count(waiting, -1)
 
-    def last_below(self, priority: int, tenant: str) -> Waiting | None:
+    def find_victim_of_tenant(self, priority: int, tenant: str) -> WaitingCall | None:
         """Return the tenant's last call of its lowest priority below `priority`."""
         for level_priority in sorted(self._levels, reverse=True):
             if level_priority <= priority:
@@ -73,23 +73,25 @@
                 return self._levels[level_priority][tenant][-1]
         return None
 
-    def last_of_longest_below(self, priority: int) -> Waiting | None:
-        """Return the last call of the busiest tenant of the lowest priority."""
+    def find_victim_below(self, priority: int) -> WaitingCall | None:
+        """Return the last call of the lowest priority's longest queue, if lower."""
         lowest = max(self._levels, default=priority)
         if lowest <= priority:
             return None
         return max(self._levels[lowest].values(), key=len)[-1]
 
-    def last_of_longer(self, priority: int, tenant: str) -> Waiting | None:
-        """Return the last call of a tenant that holds over one more than `tenant`."""
+    def find_victim_of_longer_queue(
+        self, priority: int, tenant: str
+    ) -> WaitingCall | None:
+        """Return the last call of a queue over one call longer than the tenant's."""
         level = self._levels.get(priority, OrderedDict())
         longest = max(level.values(), key=len, default=())
         if len(longest) <= len(level.get(tenant, ())) + 1:
             return None
         return longest[-1]
 
-    def _ahead(self, priority: int, tenant: str, own: int) -> int:
-        """Count the calls before the tenant's call that has `own` calls before it."""
+    def _count_ahead(self, priority: int, tenant: str, own: int) -> int:
+        """Count the calls ahead of the tenant's call that has `own` calls ahead."""
         ahead = own
         for level_priority, level in self._levels.items():
             if level_priority < priority:
@@ -99,14 +101,14 @@
                 ahead += min(len(queue), own + 1)
         return ahead
 
-    def _drop_empty(self, waiting: Waiting) -> None:
+    def _drop_empty(self, waiting: WaitingCall) -> None:
         level = self._levels[waiting.priority]
         if not level[waiting.tenant]:
             del level[waiting.tenant]
         if not level:
             del self._levels[waiting.priority]
 
-    def _count(self, waiting: Waiting, change: int) -> None:
+    def _count(self, waiting: WaitingCall, change: int) -> None:
         self._length += change
         self._tenant_lengths[waiting.tenant] += change
         if not self._tenant_lengths[waiting.tenant]:
--- a/packages/baobabring/baobabring/calls/_claiming.py
+++ b/packages/baobabring/baobabring/calls/_claiming.py
@@ -1,4 +1,4 @@
-"""What claims of idempotency keys mean for calls."""
+"""Translation between claims of idempotency keys and outcomes of calls."""
 
 from baobabring.calls._state import CallState, fingerprint_call, replay_answer
 from baobabring.claims import (
@@ -11,11 +11,11 @@
 )
 from baobabring.model import Call, CallOutcome, Completed, NotRun, Unknown
 
-UNKNOWN_RETRY_S = 1.0
+UNKNOWN_RETRY_AFTER_S = 1.0
 
 
 def request_claim(claims: ClaimCoordinator, call: Call, now_s: float) -> ClaimEvent:
-    """Ask for the sole right to run a call."""
+    """Request the exclusive right to run a call."""
     return claims.request(
         call_id=call.call_id,
         service_id=call.service_id,
@@ -29,15 +29,15 @@
     )
 
 
-def outcome_of_claim(event: ClaimEvent, now_s: float) -> CallOutcome | None:
-    """Return the outcome that a claim brings a call, None if it waits for another."""
+def outcome_from_claim(event: ClaimEvent, now_s: float) -> CallOutcome | None:
+    """Return the outcome of a call by its claim, or None while the call waits."""
     if isinstance(event, ClaimReplayed):
         return replay_answer(event.answer)
     if isinstance(event, ClaimUnknown):
-        return Unknown(event.reason, now_s + UNKNOWN_RETRY_S)
+        return Unknown(event.reason, now_s + UNKNOWN_RETRY_AFTER_S)
     if isinstance(event, ClaimRefused):
         return NotRun(event.reason, event.retry_at_s)
-    # The holder's result is on its way; the call's deadline bounds the wait.
+    # The call waits for the holder's result, at most until its own deadline.
     assert isinstance(event, ClaimLost)
     return None
 
@@ -45,7 +45,7 @@
 def finish_claim(
     claims: ClaimCoordinator, state: CallState, outcome: CallOutcome, now_s: float
 ) -> None:
-    """Tell the claims how a call ended."""
+    """Record the outcome of a call with its claim."""
     call_id = state.call.call_id
     if not state.claimed:
         claims.cancel(call_id, now_s)
--- a/packages/baobabring/baobabring/calls/_commands.py
+++ b/packages/baobabring/baobabring/calls/_commands.py
@@ -1,4 +1,4 @@
-"""Commands that the call engine gives to the shell."""
+"""Commands that the call engine issues to the I/O code."""
 
 from dataclasses import dataclass
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop an attempt and close its connection."""
+    """Cancel an attempt and close its connection."""
 
     call_id: str
     attempt: int
@@ -28,11 +28,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerCall:
-    """Give a caller the final answer."""
+    """Return the final answer to a caller."""
 
     call: Call
     outcome: CallOutcome
-    tries: tuple[str, ...]
+    tried_targets: tuple[str, ...]
 
 
 Command = StartAttempt | CancelAttempt | AnswerCall
--- a/packages/baobabring/baobabring/calls/_engine.py
+++ b/packages/baobabring/baobabring/calls/_engine.py
@@ -6,9 +6,9 @@
 from baobabring.admission import AdmissionQueue, Refused
 from baobabring.balancing import Balancer
 from baobabring.calls._claiming import (
-    UNKNOWN_RETRY_S,
+    UNKNOWN_RETRY_AFTER_S,
     finish_claim,
-    outcome_of_claim,
+    outcome_from_claim,
     request_claim,
 )
 from baobabring.calls._commands import (
@@ -21,8 +21,8 @@
     CallState,
     Phase,
     RunningAttempt,
-    describe_waiting,
-    true_outcome,
+    create_waiting_call,
+    resolve_outcome,
 )
 from baobabring.calls._timers import CallTimers
 from baobabring.claims import (
@@ -52,14 +52,14 @@
 )
 
 MAX_ATTEMPTS = 3
-RETRY_JITTER_S = 0.2
+MAX_RETRY_AFTER_S = 0.2
 RETRYABLE_STATUSES = frozenset({500, 502, 503, 504})
 
 
 class CallEngine:
-    """Decide what happens to each call, from arrival to the one final answer.
+    """Decide what happens to each call, from its arrival to its final answer.
 
-    Every method may add commands, which `take_commands` hands to the shell.
+    Every method may add commands; the I/O code gets them from `drain_commands`.
     """
 
     def __init__(
@@ -79,53 +79,53 @@
         self.hedge_policy = hedge_policy
         self.attempt_timeout_s = attempt_timeout_s
         self.rng = rng
-        self._may_start_work = False
+        self._can_start_attempts = False
         self._calls: dict[str, CallState] = {}
         self._timers = CallTimers()
         self._commands: list[Command] = []
 
     @property
-    def may_start_work(self) -> bool:
-        """Tell whether new work is allowed."""
-        return self._may_start_work
+    def can_start_attempts(self) -> bool:
+        """Return whether new attempts are allowed."""
+        return self._can_start_attempts
 
     @property
     def calls_in_progress(self) -> int:
-        """Return how many calls have no final answer yet."""
+        """Return the number of calls without a final answer."""
         return len(self._calls)
 
-    def take_commands(self) -> list[Command]:
-        """Return the commands since the last time, in order."""
+    def drain_commands(self) -> list[Command]:
+        """Remove and return the commands added since the last call, in order."""
         commands = self._commands
         self._commands = []
         return commands
 
-    def allow_work(self, allowed: bool, now_s: float) -> None:
-        """Allow or forbid new work; calls that wait for a target are refused."""
-        self._may_start_work = allowed
+    def allow_attempts(self, allowed: bool, now_s: float) -> None:
+        """Allow or forbid new attempts; if forbidden, refuse the queued calls."""
+        self._can_start_attempts = allowed
         if allowed:
             return
         for service_id in self.queue.waiting_services():
-            while (call_id := self.queue.take(service_id, now_s)) is not None:
+            while (call_id := self.queue.pop_next(service_id, now_s)) is not None:
                 self._refuse(self._calls[call_id], Reason.NOT_CONFIRMED, now_s)
 
-    def share_capacity(
+    def update_capacity_shares(
         self, service_ids: Iterable[str], live_instances: int, now_s: float
     ) -> None:
-        """Take an equal share of what the services' targets bear."""
+        """Set this instance's equal share of the capacity of each service."""
         for service_id in service_ids:
             capacity = self.balancer.usable_capacity(service_id, now_s)
             share = max(1, round(capacity / live_instances))
             self.queue.set_capacity(service_id, share)
 
-    def arrive(self, call: Call, now_s: float) -> None:
-        """Take in a new call."""
-        state = CallState(call, Phase.ROOM)
+    def add_call(self, call: Call, now_s: float) -> None:
+        """Add a new call."""
+        state = CallState(call, Phase.CAPACITY)
         self._calls[call.call_id] = state
         if call.deadline_s <= now_s:
             self._refuse(state, Reason.DEADLINE, now_s)
             return
-        if not self._may_start_work:
+        if not self._can_start_attempts:
             self._refuse(state, Reason.NOT_CONFIRMED, now_s)
             return
         self._timers.add(call.deadline_s, call.call_id)
@@ -139,7 +139,7 @@
             self._find_target(state, now_s)
 
     def caller_left(self, call_id: str, now_s: float) -> None:
-        """Drop a call whose caller is gone, unless it may not be repeated and runs."""
+        """End a call whose caller left, unless it has started and isn't idempotent."""
         state = self._calls.get(call_id)
         if state is None:
             return
@@ -153,7 +153,7 @@
     def attempt_ended(
         self, call_id: str, attempt: int, outcome: AttemptOutcome, now_s: float
     ) -> None:
-        """Take in how an attempt ended."""
+        """Record the end of an attempt and retry or finish its call."""
         state = self._calls.get(call_id)
         if state is None:
             return
@@ -167,17 +167,17 @@
             self._attempt_shed(state, now_s)
         else:
             self._attempt_lost(state, outcome, now_s)
-        self.drain(state.call.service_id, now_s)
+        self.dispatch_waiting(state.call.service_id, now_s)
 
     def apply_claim_events(self, events: Iterable[ClaimEvent], now_s: float) -> None:
-        """Take in what became of claims."""
+        """Apply the results of claims to the calls that wait for them."""
         for event in events:
             state = self._calls.get(event.call_id)
             if state is not None and state.phase is Phase.CLAIM:
                 self._apply_claim_event(state, event, now_s)
 
     def tick(self, now_s: float) -> None:
-        """Give up calls whose time is over, hedge late ones and drain the queue."""
+        """Finish expired calls, hedge late ones and start queued ones."""
         for call_id in self.queue.expire(now_s):
             self._refuse(self._calls[call_id], Reason.OVERLOAD, now_s)
         for call_id in self._timers.pop_due(now_s):
@@ -185,23 +185,23 @@
             if state is not None:
                 self._timer_fired(state, now_s)
         for service_id in self.queue.waiting_services():
-            self.drain(service_id, now_s)
+            self.dispatch_waiting(service_id, now_s)
 
-    def drain(self, service_id: str, now_s: float) -> None:
-        """Start waiting calls of a service while its targets have room."""
+    def dispatch_waiting(self, service_id: str, now_s: float) -> None:
+        """Start queued calls of a service while its targets have capacity."""
         while self.balancer.has_room(service_id, now_s):
-            call_id = self.queue.take(service_id, now_s)
+            call_id = self.queue.pop_next(service_id, now_s)
             if call_id is None:
                 return
             state = self._calls[call_id]
             if not self._start_attempt(state, now_s):
-                self.queue.put_back(state.waiting)
+                self.queue.requeue(state.waiting)
                 return
 
     def _timer_fired(self, state: CallState, now_s: float) -> None:
         if state.call.deadline_s <= now_s:
             self._deadline_passed(state, now_s)
-        elif self._should_hedge(state):
+        elif self._can_hedge(state):
             self._hedge(state, now_s)
 
     def _deadline_passed(self, state: CallState, now_s: float) -> None:
@@ -223,57 +223,57 @@
     ) -> None:
         if isinstance(event, ClaimWon):
             state.claimed = True
-            state.phase = Phase.ROOM
+            state.phase = Phase.CAPACITY
             self._find_target(state, now_s)
             return
-        outcome = outcome_of_claim(event, now_s)
+        outcome = outcome_from_claim(event, now_s)
         if outcome is not None:
             self._finish(state, outcome, now_s)
 
-    # Choice of a target
+    # Target selection
 
     def _find_target(self, state: CallState, now_s: float) -> None:
         service_id = state.call.service_id
-        nobody_waits = self.queue.backlog(service_id) == 0
-        if nobody_waits and self._start_attempt(state, now_s):
+        queue_empty = self.queue.backlog(service_id) == 0
+        if queue_empty and self._start_attempt(state, now_s):
             return
-        self._wait_for_room(state, now_s)
+        self._wait_for_capacity(state, now_s)
 
-    def _wait_for_room(self, state: CallState, now_s: float) -> None:
-        state.phase = Phase.ROOM
-        state.excluded = frozenset()
+    def _wait_for_capacity(self, state: CallState, now_s: float) -> None:
+        state.phase = Phase.CAPACITY
+        state.excluded_targets = frozenset()
         if not self.balancer.has_targets(state.call.service_id):
             self._refuse(state, Reason.NO_TARGET, now_s)
             return
-        state.waiting = describe_waiting(state.call, now_s)
+        state.waiting = create_waiting_call(state.call, now_s)
         outcome = self.queue.offer(state.waiting, now_s)
         if isinstance(outcome, Refused):
             not_run = NotRun(Reason.OVERLOAD, outcome.retry_at_s)
             self._finish(state, not_run, now_s)
             return
-        for displaced in outcome.displaced:
-            not_run = NotRun(Reason.OVERLOAD, displaced.retry_at_s)
-            self._finish(self._calls[displaced.call_id], not_run, now_s)
+        for evicted in outcome.evicted:
+            not_run = NotRun(Reason.OVERLOAD, evicted.retry_at_s)
+            self._finish(self._calls[evicted.call_id], not_run, now_s)
 
     def _start_attempt(self, state: CallState, now_s: float) -> bool:
         call = state.call
-        if not self._may_start_work:
+        if not self._can_start_attempts:
             self._refuse(state, Reason.NOT_CONFIRMED, now_s)
             return True
         if state.claimed and not self.claims.authorize_dispatch(call.call_id, now_s):
             self._refuse(state, Reason.DEADLINE, now_s)
             return True
-        target_id = self.balancer.choose(call.service_id, now_s, state.excluded)
+        target_id = self.balancer.choose(call.service_id, now_s, state.excluded_targets)
         if target_id is None:
             return False
-        first = not state.tries
+        first = not state.tried_targets
         deadline_s = call.deadline_s
         if call.rule.idempotent:
             deadline_s = min(deadline_s, now_s + self.attempt_timeout_s)
         deadline_s = self.balancer.attempt_started(target_id, now_s, deadline_s)
-        attempt = len(state.tries)
-        state.tries.append(target_id)
-        state.excluded |= {target_id}
+        attempt = len(state.tried_targets)
+        state.tried_targets.append(target_id)
+        state.excluded_targets |= {target_id}
         state.running[attempt] = RunningAttempt(target_id, now_s)
         state.phase = Phase.TARGET
         state.dispatched = True
@@ -298,10 +298,10 @@
     def _attempt_answered(
         self, state: CallState, running: RunningAttempt, outcome: Answered, now_s: float
     ) -> None:
-        service_ms = (now_s - running.started_at_s) * 1_000
+        service_time_ms = (now_s - running.started_at_s) * 1_000
         service_id = state.call.service_id
-        self.queue.observe_service_time(service_id, service_ms)
-        self.hedge_policy.observe(service_id, service_ms)
+        self.queue.record_service_time(service_id, service_time_ms)
+        self.hedge_policy.observe(service_id, service_time_ms)
         state.last_answered = outcome
         failed = outcome.answer.status in RETRYABLE_STATUSES
         if failed and state.call.rule.idempotent:
@@ -311,7 +311,7 @@
 
     def _attempt_shed(self, state: CallState, now_s: float) -> None:
         if not state.running and not state.may_have_run:
-            # Nothing of this call can have run, so a refusal is true again.
+            # No attempt can have run, so the call may be reported as not run.
             state.dispatched = False
         self._retry_or_finish(state, now_s)
 
@@ -325,9 +325,9 @@
     def _retry_or_finish(self, state: CallState, now_s: float) -> None:
         if state.running:
             return
-        if self._may_retry(state, now_s):
+        if self._can_retry(state, now_s):
             if not self._start_attempt(state, now_s):
-                self._wait_for_room(state, now_s)
+                self._wait_for_capacity(state, now_s)
         elif state.last_answered is not None:
             self._finish(state, Completed(state.last_answered.answer), now_s)
         elif state.last_lost is not None:
@@ -335,11 +335,11 @@
         else:
             self._refuse(state, Reason.OVERLOAD, now_s)
 
-    def _may_retry(self, state: CallState, now_s: float) -> bool:
+    def _can_retry(self, state: CallState, now_s: float) -> bool:
         call = state.call
-        if call.deadline_s <= now_s or len(state.tries) >= MAX_ATTEMPTS:
+        if call.deadline_s <= now_s or len(state.tried_targets) >= MAX_ATTEMPTS:
             return False
-        left = own_retries(call.retries_left) - (len(state.tries) - 1)
+        left = own_retries(call.retries_left) - (len(state.tried_targets) - 1)
         return self.retry_budget.may_retry(call.service_id, left, now_s)
 
     # Hedges
@@ -352,13 +352,13 @@
         if hedge_at_s is not None and hedge_at_s < state.call.deadline_s:
             self._timers.add(hedge_at_s, state.call.call_id)
 
-    def _should_hedge(self, state: CallState) -> bool:
+    def _can_hedge(self, state: CallState) -> bool:
         first_runs = state.phase is Phase.TARGET and len(state.running) == 1
-        return first_runs and len(state.tries) == 1
+        return first_runs and len(state.tried_targets) == 1
 
     def _hedge(self, state: CallState, now_s: float) -> None:
         call = state.call
-        if not self._may_start_work:
+        if not self._can_start_attempts:
             return
         if self.retry_budget.may_retry(call.service_id, call.retries_left, now_s):
             self._start_attempt(state, now_s)
@@ -366,22 +366,22 @@
     # Final answers
 
     def _refuse(self, state: CallState, reason: Reason, now_s: float) -> None:
-        retry_at_s = now_s + self.rng.uniform(RETRY_JITTER_S / 2, RETRY_JITTER_S)
+        retry_at_s = now_s + self.rng.uniform(MAX_RETRY_AFTER_S / 2, MAX_RETRY_AFTER_S)
         self._finish(state, NotRun(reason, retry_at_s), now_s)
 
     def _finish_unknown(self, state: CallState, reason: Reason, now_s: float) -> None:
-        self._finish(state, Unknown(reason, now_s + UNKNOWN_RETRY_S), now_s)
+        self._finish(state, Unknown(reason, now_s + UNKNOWN_RETRY_AFTER_S), now_s)
 
     def _finish(self, state: CallState, outcome: CallOutcome, now_s: float) -> None:
         call = state.call
-        outcome = true_outcome(state, outcome)
+        outcome = resolve_outcome(state, outcome)
         del self._calls[call.call_id]
         self.queue.remove(call.call_id)
         for attempt, running in state.running.items():
             self.balancer.attempt_ended(running.target_id, None, now_s)
             self._commands.append(CancelAttempt(call.call_id, attempt))
-        self._commands.append(AnswerCall(call, outcome, tuple(state.tries)))
+        self._commands.append(AnswerCall(call, outcome, tuple(state.tried_targets)))
         if call.key is not None and not call.rule.idempotent:
             finish_claim(self.claims, state, outcome, now_s)
         if state.running:
-            self.drain(call.service_id, now_s)
+            self.dispatch_waiting(call.service_id, now_s)
--- a/packages/baobabring/baobabring/calls/_routing.py
+++ b/packages/baobabring/baobabring/calls/_routing.py
@@ -1,4 +1,4 @@
-"""Choice of the service and the rule that apply to a request."""
+"""Selection of the service and the rule that apply to a request."""
 
 import fnmatch
 from dataclasses import dataclass
@@ -9,17 +9,17 @@
 DEFAULT_PRIORITY = 5
 SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
 
-SAFE_RULE = Rule(
+DEFAULT_SAFE_RULE = Rule(
     "*", "*", KeyRule.NONE, DEFAULT_DEADLINE_LIMIT_MS, "default", DEFAULT_PRIORITY
 )
-UNSAFE_RULE = Rule(
+DEFAULT_UNSAFE_RULE = Rule(
     "*", "*", KeyRule.OPTIONAL, DEFAULT_DEADLINE_LIMIT_MS, "default", DEFAULT_PRIORITY
 )
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Hold the service and the rule that apply to a request."""
+    """Represent the service and the rule that apply to a request."""
 
     service: Service
     rule: Rule
@@ -35,7 +35,7 @@
         )
 
     def route(self, method: str, path: str) -> Route | None:
-        """Return the route of a request, or None when no service has its path."""
+        """Return the route of a request, or None if no service has its path."""
         for service in self._services:
             if _has_prefix(path, service.path_prefix):
                 return Route(service, _find_rule(service, method, path))
@@ -43,7 +43,7 @@
 
 
 def longest_deadline_ms(configuration: Configuration) -> int:
-    """Return the longest deadline that any call can have."""
+    """Return the longest time to its deadline that any call can have."""
     limits_ms = [
         rule.deadline_limit_ms
         for service in configuration.services.values()
@@ -64,4 +64,4 @@
             continue
         if fnmatch.fnmatchcase(path, rule.path_pattern):
             return rule
-    return SAFE_RULE if method in SAFE_METHODS else UNSAFE_RULE
+    return DEFAULT_SAFE_RULE if method in SAFE_METHODS else DEFAULT_UNSAFE_RULE
--- a/packages/baobabring/baobabring/calls/_state.py
+++ b/packages/baobabring/baobabring/calls/_state.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from baobabring.admission import Waiting
+from baobabring.admission import WaitingCall
 from baobabring.claims import KeptAnswer
 from baobabring.model import (
     Answer,
@@ -19,16 +19,16 @@
 
 
 class Phase(Enum):
-    """Say what a call is waiting for."""
+    """Identify what a call is waiting for."""
 
     CLAIM = auto()
-    ROOM = auto()
+    CAPACITY = auto()
     TARGET = auto()
 
 
 @dataclass(slots=True)
 class RunningAttempt:
-    """Hold where an attempt runs and since when."""
+    """Represent an attempt that runs at a target."""
 
     target_id: str
     started_at_s: float
@@ -36,28 +36,28 @@
 
 @dataclass(slots=True)
 class CallState:
-    """Hold what is known of a call until its final answer."""
+    """Represent the state of a call until its final answer."""
 
     call: Call
     phase: Phase
     claimed: bool = False
     dispatched: bool = False
-    tries: list[str] = field(default_factory=list)
-    excluded: frozenset[str] = frozenset()
+    tried_targets: list[str] = field(default_factory=list)
+    excluded_targets: frozenset[str] = frozenset()
     running: dict[int, RunningAttempt] = field(default_factory=dict)
     last_answered: Answered | None = None
     last_lost: Lost | None = None
-    waiting: Waiting | None = None
+    waiting: WaitingCall | None = None
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether an attempt that has ended may have run the call."""
+        """Return whether an attempt that has ended may have run the call."""
         return self.last_answered is not None or self.last_lost is not None
 
 
-def describe_waiting(call: Call, now_s: float) -> Waiting:
-    """Return what the queue has to know of a call that begins to wait."""
-    return Waiting(
+def create_waiting_call(call: Call, now_s: float) -> WaitingCall:
+    """Return the queue's entry for a call that starts to wait."""
+    return WaitingCall(
         call_id=call.call_id,
         service_id=call.service_id,
         tenant=call.tenant,
@@ -68,8 +68,8 @@
     )
 
 
-def true_outcome(state: CallState, outcome: CallOutcome) -> CallOutcome:
-    """Return the outcome, but never "not run" of a call that may have run."""
+def resolve_outcome(state: CallState, outcome: CallOutcome) -> CallOutcome:
+    """Return the outcome, replacing "not run" if the call may have run."""
     if not isinstance(outcome, NotRun) or not state.may_have_run:
         return outcome
     if state.last_answered is not None:
@@ -78,15 +78,15 @@
 
 
 def replay_answer(kept: KeptAnswer) -> Completed:
-    """Return the outcome of a repeated call that ran before."""
-    # A body beyond the limit is gone, which the caller is told of.
-    whole = kept.body is not None
-    answer = Answer(kept.status, kept.headers, kept.body if whole else b"")
-    return Completed(answer, replayed=True, body_kept=whole)
+    """Return the outcome of a repeated call from the answer that was kept."""
+    # A body above the size limit was not kept; `body_kept` reports this.
+    has_body = kept.body is not None
+    answer = Answer(kept.status, kept.headers, kept.body if has_body else b"")
+    return Completed(answer, replayed=True, body_kept=has_body)
 
 
 def fingerprint_call(call: Call) -> bytes:
-    """Return a digest of all that makes a request the same as another."""
+    """Return a digest of the method, path and body, equal for equal requests."""
     digest = hashlib.sha256()
     for part in (call.method.encode(), call.path.encode(), call.body):
         digest.update(len(part).to_bytes(8, "big"))
--- a/packages/baobabring/baobabring/calls/_timers.py
+++ b/packages/baobabring/baobabring/calls/_timers.py
@@ -1,14 +1,14 @@
-"""Points in time at which calls need attention."""
+"""Timers of calls."""
 
 import heapq
 from collections.abc import Iterator
 
 
 class CallTimers:
-    """Hold points in time with the calls that they concern.
+    """Store the timers of all calls in a heap.
 
-    Timers of calls that have ended stay until they are due; there are at most two a
-    call.
+    A call has at most two timers. They stay in the heap until they are due, even if
+    the call has ended.
     """
 
     def __init__(self) -> None:
@@ -16,11 +16,11 @@
         self._count = 0
 
     def add(self, at_s: float, call_id: str) -> None:
-        """Remember to look at a call."""
+        """Add a timer for a call."""
         self._count += 1
         heapq.heappush(self._heap, (at_s, self._count, call_id))
 
     def pop_due(self, now_s: float) -> Iterator[str]:
-        """Remove and yield the calls to look at, the earliest first."""
+        """Remove the timers that are due and yield their calls, earliest first."""
         while self._heap and self._heap[0][0] <= now_s:
             yield heapq.heappop(self._heap)[2]
--- a/packages/baobabring/baobabring/calls/tests/fakes.py
+++ b/packages/baobabring/baobabring/calls/tests/fakes.py
@@ -1,4 +1,4 @@
-"""An engine over real policies, with claims that always win."""
+"""Test harness for the call engine, with real policies and fake claims."""
 
 import random
 from dataclasses import dataclass, field
@@ -18,10 +18,10 @@
 START_S = 10.0
 ATTEMPT_TIMEOUT_S = 1.0
 OK = Answered(Answer(200, (), b"ok"), None, 1.0)
-FAILED = Answered(Answer(500, (), b"bad"), None, 1.0)
+ERROR_ANSWER = Answered(Answer(500, (), b"bad"), None, 1.0)
 
 
-class HedgeAt(HedgePolicy):
+class FixedDelayHedge(HedgePolicy):
     """Hedge every idempotent call after a fixed delay."""
 
     def __init__(self, delay_s: float) -> None:
@@ -39,38 +39,38 @@
 
 @dataclass
 class FakeClaims:
-    """Grant each claim when told, and note how calls ended."""
+    """Leave every claim pending and record how calls ended."""
 
     ended: dict[str, str] = field(default_factory=dict)
     dispatch_allowed: bool = True
 
     def request(self, call_id: str, **_: object) -> ClaimPending:
-        """Let the call wait."""
+        """Return a pending claim."""
         return ClaimPending(call_id)
 
     def authorize_dispatch(self, call_id: str, now_s: float) -> bool:
-        """Return what the test has set."""
+        """Return the value that the test has set."""
         return self.dispatch_allowed
 
     def finish_with_result(self, call_id: str, answer: Answer, now_s: float) -> None:
-        """Note a result."""
+        """Record a result."""
         self.ended[call_id] = "result"
 
     def finish_as_not_run(self, call_id: str, now_s: float) -> None:
-        """Note a release."""
+        """Record a release."""
         self.ended[call_id] = "release"
 
     def finish_as_undetermined(self, call_id: str, now_s: float) -> None:
-        """Note an unknown outcome."""
+        """Record an unknown outcome."""
         self.ended[call_id] = "undetermined"
 
     def cancel(self, call_id: str, now_s: float) -> None:
-        """Note a cancelled wait."""
+        """Record a cancelled wait."""
         self.ended[call_id] = "cancelled"
 
 
-class Bench:
-    """Drive an engine and keep what it commanded."""
+class EngineHarness:
+    """Drive an engine and collect its commands."""
 
     def __init__(
         self,
@@ -94,17 +94,17 @@
         self.started: list[StartAttempt] = []
         self.cancelled: list[CancelAttempt] = []
         self.answers: dict[str, AnswerCall] = {}
-        self.engine.allow_work(True, self.now_s)
-        self.engine.share_capacity(("menu",), 1, self.now_s)
+        self.engine.allow_attempts(True, self.now_s)
+        self.engine.update_capacity_shares(("menu",), 1, self.now_s)
 
-    def arrive(
+    def add_call(
         self,
         call_id: str,
         key_rule: KeyRule = KeyRule.NONE,
         key: str | None = None,
-        lasts_s: float = 5.0,
+        time_left_s: float = 5.0,
     ) -> None:
-        """Let a call arrive; the one with a key wins its claim at once."""
+        """Add a call; one with a key wins its claim immediately."""
         rule = Rule("*", "*", key_rule, 5_000, "class", 1)
         call = Call(
             call_id=call_id,
@@ -116,32 +116,32 @@
             headers=(),
             body=b"",
             key=key,
-            deadline_s=self.now_s + lasts_s,
+            deadline_s=self.now_s + time_left_s,
             retries_left=2,
             arrived_at_s=self.now_s,
         )
-        self.engine.arrive(call, self.now_s)
+        self.engine.add_call(call, self.now_s)
         if key is not None:
             self.engine.apply_claim_events([ClaimWon(call_id)], self.now_s)
         self._collect()
 
-    def end(self, call_id: str, attempt: int, outcome) -> None:
-        """Let an attempt end."""
+    def end_attempt(self, call_id: str, attempt: int, outcome) -> None:
+        """End an attempt."""
         self.engine.attempt_ended(call_id, attempt, outcome, self.now_s)
         self._collect()
 
-    def leave(self, call_id: str) -> None:
-        """Let a caller leave."""
+    def disconnect_caller(self, call_id: str) -> None:
+        """Disconnect a caller."""
         self.engine.caller_left(call_id, self.now_s)
         self._collect()
 
-    def allow_work(self, allowed: bool) -> None:
-        """Allow or forbid new work."""
-        self.engine.allow_work(allowed, self.now_s)
+    def allow_attempts(self, allowed: bool) -> None:
+        """Allow or forbid new attempts."""
+        self.engine.allow_attempts(allowed, self.now_s)
         self._collect()
 
-    def step(self, duration_s: float) -> None:
-        """Let time pass."""
+    def advance(self, duration_s: float) -> None:
+        """Advance the time."""
         self.now_s += duration_s
         self.engine.tick(self.now_s)
         self._collect()
@@ -152,7 +152,7 @@
         return None if answer is None else answer.outcome
 
     def _collect(self) -> None:
-        for command in self.engine.take_commands():
+        for command in self.engine.drain_commands():
             if isinstance(command, StartAttempt):
                 self.started.append(command)
             elif isinstance(command, CancelAttempt):
--- a/packages/baobabring/baobabring/calls/tests/test_routing.py
+++ b/packages/baobabring/baobabring/calls/tests/test_routing.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("path", ["/", "/feesx", "/other"])
-def test_path_of_no_service_has_no_route(path):
+def test_path_without_a_service_has_no_route(path):
     assert ROUTER.route("GET", path) is None
 
 
@@ -34,7 +34,7 @@
     ("method", "idempotent"),
     [("GET", True), ("HEAD", True), ("PUT", False), ("POST", False)],
 )
-def test_only_safe_methods_may_repeat_without_a_rule(method, idempotent):
+def test_only_safe_methods_are_idempotent_without_a_rule(method, idempotent):
     assert ROUTER.route(method, "/fees").rule.idempotent is idempotent
 
 
--- a/packages/baobabring/baobabring/membership/__init__.py
+++ b/packages/baobabring/baobabring/membership/__init__.py
@@ -1,11 +1,11 @@
-"""Who is in the fleet, and whether one's own configuration is current."""
+"""Members of the fleet, and whether this instance's configuration is current."""
 
 from baobabring.membership._confirmation import (
+    ConfirmationStatus,
     ConfirmationTracker,
     Confirmed,
     Degraded,
     Isolated,
-    Verdict,
     create_confirmation_tracker,
 )
 from baobabring.membership._heartbeat import (
@@ -20,6 +20,7 @@
 )
 
 __all__ = [
+    "ConfirmationStatus",
     "ConfirmationTracker",
     "Confirmed",
     "Degraded",
@@ -29,7 +30,6 @@
     "MemberState",
     "Membership",
     "MembershipSettings",
-    "Verdict",
     "create_confirmation_tracker",
     "create_membership",
 ]
--- a/packages/baobabring/baobabring/membership/_heartbeat.py
+++ b/packages/baobabring/baobabring/membership/_heartbeat.py
@@ -1,4 +1,4 @@
-"""Message by which an instance tells a peer that it is there."""
+"""Message by which an instance reports to its peers that it is alive."""
 
 import msgspec
 
@@ -6,18 +6,18 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True):
-    """Tell one's state and how far one's configuration goes.
+    """Represent the sender's state and the version of its configuration.
 
     Parameters
     ----------
     sender : str
-        Identifier of the instance, new with each process.
+        Identifier of the instance; each process has a new one.
     sequence : int
-        Number of the heartbeat; grows by one with each.
+        Number of the heartbeat; increases by one each time.
     revision, config_offset : int
         Revision and next offset of the configuration that the sender applied.
     confirmed_at_s : float
-        Point in time up to which the sender's configuration is known as newest.
+        Last time at which the sender's configuration was known to be the newest.
     """
 
     sender: str
--- a/packages/baobabring/baobabring/membership/tests/test_membership.py
+++ b/packages/baobabring/baobabring/membership/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of the view of the fleet."""
+"""Tests of the membership of the fleet."""
 
 import pytest
 from hypothesis import given, settings
@@ -22,14 +22,14 @@
     return Heartbeat(sender, "sapporo", "127.0.0.1:1", sequence, 0.0, state, 1, 1, 0.0)
 
 
-def make_view(*listed):
-    view = create_membership("me")
-    view.apply_list(tuple(make_info(instance_id) for instance_id in listed), 0.0)
-    return view
+def make_membership(*listed):
+    membership = create_membership("me")
+    membership.apply_list(tuple(make_info(instance_id) for instance_id in listed), 0.0)
+    return membership
 
 
-def state_of(view, instance_id, now_s):
-    states = {member.instance_id: member.state for member in view.members(now_s)}
+def state_of(membership, instance_id, now_s):
+    states = {member.instance_id: member.state for member in membership.members(now_s)}
     return states.get(instance_id)
 
 
@@ -40,88 +40,92 @@
 
 
 def test_listed_instance_is_live_until_silent():
-    view = make_view("me", "a")
-    assert view.live(2.0) == ["a", "me"]
-    assert view.live(3.0) == ["me"]
-    assert state_of(view, "a", 3.0) is MemberState.SILENT
+    membership = make_membership("me", "a")
+    assert membership.live(2.0) == ["a", "me"]
+    assert membership.live(3.0) == ["me"]
+    assert state_of(membership, "a", 3.0) is MemberState.SILENT
 
 
-def test_heartbeats_keep_an_instance_that_the_list_lost():
-    view = make_view("a")
-    view.heard(make_heartbeat("a"), 5.0)
-    view.apply_list((), 6.0)
-    assert view.live(7.0) == ["a", "me"]
+def test_instance_missing_from_the_list_stays_live_with_heartbeats():
+    membership = make_membership("a")
+    membership.record_heartbeat(make_heartbeat("a"), 5.0)
+    membership.apply_list((), 6.0)
+    assert membership.live(7.0) == ["a", "me"]
 
 
-def test_instance_not_listed_yet_is_live_when_heard():
-    view = make_view("me")
-    view.heard(make_heartbeat("new"), 1.0)
-    assert view.live(1.0) == ["me", "new"]
+def test_unlisted_instance_is_live_after_a_heartbeat():
+    membership = make_membership("me")
+    membership.record_heartbeat(make_heartbeat("new"), 1.0)
+    assert membership.live(1.0) == ["me", "new"]
 
 
-def test_unlisted_silent_instance_is_forgotten():
-    view = make_view("a")
-    view.apply_list((), 1.0)
-    assert state_of(view, "a", 30.0) is MemberState.SILENT
-    assert view.members(40.0) == []
+def test_unlisted_silent_instance_is_removed():
+    membership = make_membership("a")
+    membership.apply_list((), 1.0)
+    assert state_of(membership, "a", 30.0) is MemberState.SILENT
+    assert membership.members(40.0) == []
 
 
-def test_emptied_list_does_not_look_like_a_small_fleet():
-    view = make_view("me", "a", "b")
-    view.apply_list((), 10.0)
-    assert view.reachable_share(10.0) == pytest.approx(1 / 3)
-    assert view.reachable_share(41.0) == 1.0
+def test_instances_lost_from_the_list_count_as_unreachable_for_a_while():
+    membership = make_membership("me", "a", "b")
+    membership.apply_list((), 10.0)
+    assert membership.reachable_share(10.0) == pytest.approx(1 / 3)
+    assert membership.reachable_share(41.0) == 1.0
 
 
-def test_instance_that_left_does_not_count_as_out_of_reach():
-    view = make_view("me", "a")
-    view.heard(make_heartbeat("a", state=InstanceState.LEAVING), 1.0)
-    view.apply_list((make_info("me"),), 2.0)
-    assert view.reachable_share(9.0) == 1.0
+def test_instance_that_left_does_not_count_as_unreachable():
+    membership = make_membership("me", "a")
+    membership.record_heartbeat(make_heartbeat("a", state=InstanceState.LEAVING), 1.0)
+    membership.apply_list((make_info("me"),), 2.0)
+    assert membership.reachable_share(9.0) == 1.0
 
 
-def test_leaving_by_heartbeat_or_list():
-    view = make_view("a", "b")
-    view.heard(make_heartbeat("a", state=InstanceState.LEAVING), 1.0)
-    view.apply_list((make_info("a"), make_info("b", InstanceState.LEAVING)), now_s=1.0)
-    assert state_of(view, "a", 1.0) is MemberState.LEAVING
-    assert state_of(view, "b", 1.0) is MemberState.LEAVING
-    assert [member.instance_id for member in view.peers(1.0)] == ["a", "b"]
+def test_heartbeat_or_list_can_report_an_instance_as_leaving():
+    membership = make_membership("a", "b")
+    membership.record_heartbeat(make_heartbeat("a", state=InstanceState.LEAVING), 1.0)
+    membership.apply_list(
+        (make_info("a"), make_info("b", InstanceState.LEAVING)), now_s=1.0
+    )
+    assert state_of(membership, "a", 1.0) is MemberState.LEAVING
+    assert state_of(membership, "b", 1.0) is MemberState.LEAVING
+    assert [member.instance_id for member in membership.peers(1.0)] == ["a", "b"]
 
 
 def test_out_of_order_heartbeat_is_ignored():
-    view = make_view("a")
-    assert view.heard(make_heartbeat("a", 2, InstanceState.LEAVING), 1.0)
-    assert not view.heard(make_heartbeat("a", 1), 9.0)
-    assert state_of(view, "a", 2.0) is MemberState.LEAVING
-    assert state_of(view, "a", 9.0) is MemberState.SILENT
+    membership = make_membership("a")
+    assert membership.record_heartbeat(
+        make_heartbeat("a", 2, InstanceState.LEAVING), 1.0
+    )
+    assert not membership.record_heartbeat(make_heartbeat("a", 1), 9.0)
+    assert state_of(membership, "a", 2.0) is MemberState.LEAVING
+    assert state_of(membership, "a", 9.0) is MemberState.SILENT
 
 
-def test_suspicion_comes_before_the_verdict():
-    view = make_view("a")
-    view.heard(make_heartbeat("a"), 0.0)
-    assert view.silent_peers(1.0) == []
-    assert [member.instance_id for member in view.silent_peers(2.0)] == ["a"]
-    assert state_of(view, "a", 2.0) is MemberState.LIVE
+def test_instance_is_suspected_before_it_is_silent():
+    membership = make_membership("a")
+    membership.record_heartbeat(make_heartbeat("a"), 0.0)
+    assert membership.suspected_peers(1.0) == []
+    assert [member.instance_id for member in membership.suspected_peers(2.0)] == ["a"]
+    assert state_of(membership, "a", 2.0) is MemberState.LIVE
 
 
 def test_reachable_share_counts_listed_instances():
-    view = make_view("me", "a", "b", "c")
-    view.heard(make_heartbeat("a"), 1.0)
-    view.heard(make_heartbeat("unlisted"), 1.0)
-    assert view.reachable_share(1.0) == 0.5
+    membership = make_membership("me", "a", "b", "c")
+    membership.record_heartbeat(make_heartbeat("a"), 1.0)
+    membership.record_heartbeat(make_heartbeat("unlisted"), 1.0)
+    assert membership.reachable_share(1.0) == 0.5
     assert create_membership("me").reachable_share(1.0) == 0.0
 
 
-def test_fleet_size_is_the_larger_of_list_and_view():
-    view = make_view("me", "a", "b")
-    assert view.fleet_size(100.0) == 3
+def test_fleet_size_is_the_larger_of_listed_and_known_instances():
+    membership = make_membership("me", "a", "b")
+    assert membership.fleet_size(100.0) == 3
     for sender in ("x", "y", "z"):
-        view.heard(make_heartbeat(sender), 100.0)
-    assert view.fleet_size(100.0) == 6
+        membership.record_heartbeat(make_heartbeat(sender), 100.0)
+    assert membership.fleet_size(100.0) == 6
 
 
-def test_settings_must_grow():
+def test_settings_must_increase():
     with pytest.raises(ValueError, match="must be > 0 and grow"):
         MembershipSettings(suspect_after_s=9.0)
 
@@ -133,13 +137,15 @@
         max_size=40,
     )
 )
-def test_others_cannot_change_what_is_known_of_an_instance(steps):
-    """Whoever else is heard, and whatever they say, `a` keeps its state."""
-    alone, crowded = make_view("a"), make_view("a")
+def test_heartbeats_of_others_do_not_change_an_instance_state(steps):
+    """Heartbeats of other instances must not affect what is known of `a`."""
+    without_others, with_others = make_membership("a"), make_membership("a")
     now_s = 0.0
-    for number, (sender, pause_s, leaving) in enumerate(steps):
-        now_s += pause_s
+    for number, (sender, elapsed_s, leaving) in enumerate(steps):
+        now_s += elapsed_s
         state = InstanceState.LEAVING if leaving else InstanceState.LIVE
-        crowded.heard(make_heartbeat(sender, number, state), now_s)
-        assert state_of(alone, "a", now_s) is state_of(crowded, "a", now_s)
-        assert crowded.reachable_share(now_s) == alone.reachable_share(now_s)
+        with_others.record_heartbeat(make_heartbeat(sender, number, state), now_s)
+        assert state_of(without_others, "a", now_s) is state_of(with_others, "a", now_s)
+        assert with_others.reachable_share(now_s) == without_others.reachable_share(
+            now_s
+        )
--- a/packages/baobabring/baobabring/model/__init__.py
+++ b/packages/baobabring/baobabring/model/__init__.py
@@ -1,4 +1,4 @@
-"""Typed data shared by the kernel and the shell."""
+"""Data types shared by the decision logic and the I/O code."""
 
 from baobabring.model._calls import Call
 from baobabring.model._config import (
--- a/packages/baobabring/baobabring/model/_calls.py
+++ b/packages/baobabring/baobabring/model/_calls.py
@@ -1,4 +1,4 @@
-"""Calls as the kernel sees them."""
+"""Calls as the decision logic sees them."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """Hold one caller's request with all that the kernel decides by."""
+    """Represent one caller's request with the data that decisions depend on."""
 
     call_id: str
     service_id: str
--- a/packages/baobabring/baobabring/model/_config.py
+++ b/packages/baobabring/baobabring/model/_config.py
@@ -1,11 +1,11 @@
-"""Configuration that operators publish, as the kernel sees it."""
+"""Configuration that operators publish, as the decision logic sees it."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
 
 
 class KeyRule(StrEnum):
-    """Say whether a request may repeat and whether it needs an idempotency key."""
+    """Define whether a request may repeat and whether it needs an idempotency key."""
 
     NONE = "none"
     OPTIONAL = "optional"
@@ -13,14 +13,14 @@
 
 
 class TargetState(StrEnum):
-    """State that operators gave a target."""
+    """State of a target, set by operators."""
 
     ACTIVE = "active"
     DRAINING = "draining"
 
 
 class ZoneState(StrEnum):
-    """State that operators gave an availability zone."""
+    """State of an availability zone, set by operators."""
 
     IN = "in"
     OUT = "out"
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """Match requests by method and path, and say how to treat them."""
+    """Define how requests that match a method and a path are handled."""
 
     method: str
     path_pattern: str
@@ -39,7 +39,7 @@
 
     @property
     def idempotent(self) -> bool:
-        """Tell whether the requests may run more than once."""
+        """Return whether the requests may run more than once."""
         return self.key_rule is KeyRule.NONE
 
 
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """Hold everything that operators published, as of one revision."""
+    """Represent everything that operators published, as of one revision."""
 
     revision: int = 0
     services: dict[str, Service] = field(default_factory=dict)
--- a/packages/baobabring/baobabring/model/_outcomes.py
+++ b/packages/baobabring/baobabring/model/_outcomes.py
@@ -5,7 +5,7 @@
 
 
 class Reason(StrEnum):
-    """Say why a call was refused or why its outcome is unknown."""
+    """Identify why a call was refused or why its outcome is unknown."""
 
     BAD_REQUEST = "bad-request"
     TOO_LARGE = "too-large"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Hold a target's whole answer."""
+    """Represent a target's complete answer."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Completed:
-    """Tell that the call ran and that the whole answer is here."""
+    """Represent a call that ran and whose complete answer arrived."""
 
     answer: Answer
     replayed: bool = False
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """Tell that no target ran the call; the caller may come back at `retry_at_s`."""
+    """Represent a call that no target ran; it may be repeated at `retry_at_s`."""
 
     reason: Reason
     retry_at_s: float
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """Tell that the call may have run."""
+    """Represent a call that may have run."""
 
     reason: Reason
     retry_at_s: float
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Hold what a target said of its own load in an answer or a probe."""
+    """Represent the load that a target reported in an answer or a probe."""
 
     in_flight: int
     slots: int
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """Tell that a target gave a whole answer, an error status included."""
+    """Represent an attempt with a complete answer, which may be an error status."""
 
     answer: Answer
     report: LoadReport | None
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Shed:
-    """Tell that the target refused before work, or that no byte reached it."""
+    """Represent an attempt that the target refused to run or never received."""
 
     report: LoadReport | None
     reached_target: bool
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """Tell that the request went out and no whole answer came back."""
+    """Represent an attempt that was sent and got no complete answer."""
 
     reason: Reason
 
--- a/packages/baobabring/baobabring/program/_control_plane.py
+++ b/packages/baobabring/baobabring/program/_control_plane.py
@@ -87,7 +87,7 @@
             zone=member.zone,
             state=ReportedState(member.state.value),
             revision=heartbeat.revision if heartbeat else 0,
-            heartbeat_age_ms=self._age_ms(member.heard_at_s or 0.0),
+            heartbeat_age_ms=self._age_ms(member.last_heartbeat_at_s or 0.0),
             confirmed_age_ms=self._age_ms(
                 heartbeat.confirmed_at_s if heartbeat else 0.0
             ),
--- a/packages/baobabring/baobabring/program/_dispatcher.py
+++ b/packages/baobabring/baobabring/program/_dispatcher.py
@@ -72,7 +72,7 @@
         """Start a call; the future ends with its outcome."""
         future = asyncio.get_running_loop().create_future()
         self._futures[call.call_id] = future
-        self.engine.arrive(call, self.clock.now_s())
+        self.engine.add_call(call, self.clock.now_s())
         self._arrived.set()
         self.run_commands()
         if call.key is not None:
@@ -107,9 +107,9 @@
         """Call `flush` whenever claims may be waiting to be appended."""
         self._flush_claims = flush
 
-    def share_capacity(self, live_instances: int) -> None:
+    def update_capacity_shares(self, live_instances: int) -> None:
         """Take an equal share of what the targets bear."""
-        self.engine.share_capacity(
+        self.engine.update_capacity_shares(
             self._service_ids, live_instances, self.clock.now_s()
         )
 
@@ -120,7 +120,7 @@
 
     def knows_services(self) -> bool:
         """Tell whether a service that isn't known here doesn't exist."""
-        return self.engine.may_start_work
+        return self.engine.can_start_attempts
 
     def leaving(self) -> bool:
         """Tell whether this instance is shutting down."""
@@ -131,9 +131,9 @@
         self.engine.apply_claim_events(events, self.clock.now_s())
         self.run_commands()
 
-    def allow_work(self, allowed: bool) -> None:
+    def allow_attempts(self, allowed: bool) -> None:
         """Allow or forbid new work at targets."""
-        self.engine.allow_work(allowed, self.clock.now_s())
+        self.engine.allow_attempts(allowed, self.clock.now_s())
         self.run_commands()
 
     def tick(self) -> None:
@@ -158,7 +158,7 @@
 
     def run_commands(self) -> None:
         """Carry out what the engine has decided."""
-        for command in self.engine.take_commands():
+        for command in self.engine.drain_commands():
             if isinstance(command, StartAttempt):
                 self._start_attempt(command)
             elif isinstance(command, CancelAttempt):
@@ -202,4 +202,6 @@
         call_id = command.call.call_id
         future = self._futures.pop(call_id, None)
         if future is not None and not future.done():
-            future.set_result(CallResult(call_id, command.outcome, command.tries))
+            future.set_result(
+                CallResult(call_id, command.outcome, command.tried_targets)
+            )
--- a/packages/baobabring/baobabring/program/_membership_task.py
+++ b/packages/baobabring/baobabring/program/_membership_task.py
@@ -6,13 +6,13 @@
 import logbook
 
 from baobabring.membership import (
+    ConfirmationStatus,
     ConfirmationTracker,
     Heartbeat,
     Isolated,
     Member,
     Membership,
     MemberState,
-    Verdict,
 )
 from baobabring.platform import InstanceInfo, InstanceList, InstanceState, ReadFailed
 from baobabring.program._metrics import CONFIRMED_AGE
@@ -65,14 +65,16 @@
         """Call `listener` with each heartbeat that is in order."""
         self._listeners.append(listener)
 
-    def verdict(self) -> Verdict:
+    def confirmation_status(self) -> ConfirmationStatus:
         """Judge whether new work may start under the configuration at hand."""
         now_s = self.clock.now_s()
-        return self.tracker.verdict(now_s, self.membership.reachable_share(now_s))
+        return self.tracker.confirmation_status(
+            now_s, self.membership.reachable_share(now_s)
+        )
 
-    def may_start_work(self) -> bool:
+    def can_start_attempts(self) -> bool:
         """Tell whether a zone that was taken out would be known of by now."""
-        return not isinstance(self.verdict(), Isolated)
+        return not isinstance(self.confirmation_status(), Isolated)
 
     def live(self) -> frozenset[str]:
         """Return the live instances, this one included."""
@@ -133,8 +135,8 @@
 
     def _heard(self, heartbeat: Heartbeat) -> None:
         now_s = self.clock.now_s()
-        if self.membership.heard(heartbeat, now_s):
-            self.tracker.peer_confirmed(
+        if self.membership.record_heartbeat(heartbeat, now_s):
+            self.tracker.record_peer_confirmation(
                 heartbeat.sender,
                 heartbeat.config_offset,
                 heartbeat.confirmed_at_s,
@@ -145,7 +147,7 @@
 
     def _reconnect_to_silent(self) -> None:
         now_s = self.clock.now_s()
-        for member in self.membership.silent_peers(now_s):
+        for member in self.membership.suspected_peers(now_s):
             last_s = self._reconnected_at_s.get(member.instance_id, 0.0)
             if now_s - last_s >= RECONNECT_INTERVAL_S:
                 self._reconnected_at_s[member.instance_id] = now_s
@@ -158,9 +160,9 @@
             if self._states.get(instance_id) is not state:
                 LOG.info("peer changed", peer=instance_id, state=state.value)
             if state is MemberState.SILENT:
-                self.tracker.forget_peer(instance_id)
+                self.tracker.remove_peer(instance_id)
         for instance_id in self._states.keys() - states.keys():
             LOG.info("peer gone", peer=instance_id)
-            self.tracker.forget_peer(instance_id)
+            self.tracker.remove_peer(instance_id)
             self._reconnected_at_s.pop(instance_id, None)
         self._states = states
--- a/packages/baobabring/baobabring/program/_node.py
+++ b/packages/baobabring/baobabring/program/_node.py
@@ -52,7 +52,7 @@
         self.settings = settings
         self.parts = parts
         self._leaving = asyncio.Event()
-        self._may_start_work = False
+        self._can_start_attempts = False
         self._server = _create_caller_server(settings, parts)
 
     async def run(self) -> None:
@@ -165,20 +165,20 @@
         parts.balancer.set_live(live)
         parts.claims.set_live_instances(fleet_size, now_s)
         parts.probe_task.scheduler.set_instances(live, fleet_size, now_s)
-        parts.dispatcher.share_capacity(len(live))
+        parts.dispatcher.update_capacity_shares(len(live))
         self._judge_confirmation()
 
     def _judge_confirmation(self) -> None:
-        may_start_work = (
+        can_start_attempts = (
             self.parts.reader.knows_configuration
-            and self.parts.membership.may_start_work()
+            and self.parts.membership.can_start_attempts()
         )
-        if may_start_work != self._may_start_work:
-            self._may_start_work = may_start_work
-            LOG.info("new work", allowed=may_start_work)
-            self.parts.dispatcher.allow_work(may_start_work)
+        if can_start_attempts != self._can_start_attempts:
+            self._can_start_attempts = can_start_attempts
+            LOG.info("new work", allowed=can_start_attempts)
+            self.parts.dispatcher.allow_attempts(can_start_attempts)
         leaving = self._leaving.is_set()
-        self.parts.dispatcher.set_ready(may_start_work and not leaving)
+        self.parts.dispatcher.set_ready(can_start_attempts and not leaving)
 
     async def _leave(self, serving: asyncio.Future) -> None:
         LOG.info("leaving")
--- a/packages/baobabring/baobabring/program/_state_exchange.py
+++ b/packages/baobabring/baobabring/program/_state_exchange.py
@@ -50,9 +50,9 @@
     def _progressed(self) -> None:
         tracker = self.membership.tracker
         next_offset = self.reader.fold.next_offset
-        tracker.applied(next_offset)
+        tracker.record_applied(next_offset)
         if self.reader.confirmed_at_s is not None:
-            tracker.end_read(next_offset, self.reader.confirmed_at_s)
+            tracker.record_log_end(next_offset, self.reader.confirmed_at_s)
         self.membership.revision = self.reader.configuration.revision
 
     def _heard(self, heartbeat: Heartbeat) -> None:
