--- a/benchmarks/balancing_choice.py
+++ b/benchmarks/balancing_choice.py
@@ -61,7 +61,7 @@
         balancer.report(f"target-{index}", report, 0.0)
     now_s = 1.0
     offset = 0
-    while payload := balancer.cold_start.due_proposal(now_s):
+    while payload := balancer.cold_start.pop_due_proposal(now_s):
         record = LogRecord(offset, now_s, payload)
         balancer.cold_start.apply_page(Page(0, offset + 1, (record,)), now_s)
         offset += 1
@@ -130,7 +130,7 @@
             now_s += 0.05
             balancer.attempt_started(f"target-{number % target_count}", now_s)
             started = time.perf_counter()
-            encode_message(balancer.sharing.outgoing(now_s))
+            encode_message(balancer.sharing.pop_due_update(now_s))
             elapsed += time.perf_counter() - started
             balancer.attempt_ended(f"target-{number % target_count}", None, now_s)
         outgoing_us.append(1e6 * elapsed / CHOICES_PER_ROUND)
--- a/benchmarks/capacity_admission.py
+++ b/benchmarks/capacity_admission.py
@@ -61,8 +61,8 @@
 
     def spend() -> None:
         for _ in range(first_tries):
-            budget.record_first_try("menu", NOW_S)
-        budget.may_retry("menu", 1, NOW_S)
+            budget.record_first_attempt("menu", NOW_S)
+        budget.try_spend_retry("menu", 1, NOW_S)
 
     return spend
 
--- a/benchmarks/capacity_fleet_probes.py
+++ b/benchmarks/capacity_fleet_probes.py
@@ -7,7 +7,7 @@
 import random
 from dataclasses import dataclass
 
-from baobabring.probing import ProbeNeed, ProbeSettings, create_probe_scheduler
+from baobabring.probing import ProbeReason, ProbeSettings, create_probe_scheduler
 from tabulate import tabulate
 
 FLEETS = (3, 14, 50)
@@ -48,16 +48,16 @@
             for result in shared:
                 scheduler.apply_shared(result)
             for target_id in busy:
-                scheduler.traffic_seen(target_id, now_s)
+                scheduler.record_traffic(target_id, now_s)
             if returned:
                 for target_id in targets[-RETURNED:]:
-                    scheduler.set_need(target_id, ProbeNeed.RETURNED, now_s)
-            for target_id in scheduler.due(now_s):
-                ended.append(scheduler.probe_ended(target_id, True, now_s))
+                    scheduler.set_reason(target_id, ProbeReason.RETURNED, now_s)
+            for target_id in scheduler.start_due_probes(now_s):
+                ended.append(scheduler.record_probe_end(target_id, True, now_s))
                 if now_s >= RETURN_AT_S:
                     noticed_at_s.setdefault(target_id, now_s)
         shared = ended
-    spent_ms = sum(scheduler.spend.spent_ms for scheduler in schedulers)
+    spent_ms = sum(scheduler.probe_totals.spent_ms for scheduler in schedulers)
     slowest_s = max(noticed_at_s.get(name, RUN_S) for name in targets[-RETURNED:])
     return Spent(
         spent_ms / (settings.probe_budget_ms_per_s * RUN_S), slowest_s - RETURN_AT_S
--- a/benchmarks/capacity_probing.py
+++ b/benchmarks/capacity_probing.py
@@ -14,7 +14,7 @@
     names = [f"target-{n:04}" for n in range(targets)]
     scheduler.set_targets(names, 0.0)
     for name in names:
-        scheduler.traffic_seen(name, 10.0)
+        scheduler.record_traffic(name, 10.0)
     return scheduler
 
 
@@ -31,7 +31,7 @@
 
     def see() -> None:
         for name in names:
-            scheduler.traffic_seen(name, 10.0)
+            scheduler.record_traffic(name, 10.0)
 
     return see
 
@@ -40,9 +40,11 @@
     """Print the slopes."""
     slopes = [
         time_slope(
-            "due, each target not due", TARGETS, lambda n: _due(make_scheduler(n))
+            "start_due_probes, each target not due",
+            TARGETS,
+            lambda n: _due(make_scheduler(n)),
         ),
-        time_slope("traffic_seen, each answer", TARGETS, see_traffic),
+        time_slope("record_traffic, each answer", TARGETS, see_traffic),
         time_slope("ranked_probers, each instance", FLEET_SIZES, rank_one),
         memory_slope("scheduler, each target", TARGETS, make_scheduler),
     ]
@@ -50,7 +52,7 @@
 
 
 def _due(scheduler: ProbeScheduler):
-    return lambda: scheduler.due(11.0)
+    return lambda: scheduler.start_due_probes(11.0)
 
 
 if __name__ == "__main__":
--- a/packages/baobabring/baobabring/balancing/__init__.py
+++ b/packages/baobabring/baobabring/balancing/__init__.py
@@ -1,4 +1,4 @@
-"""Choice of targets."""
+"""Load balancing: the choice of a target for each call."""
 
 from baobabring.balancing import (
     _hot_cold,
@@ -10,8 +10,8 @@
 )
 from baobabring.balancing._balancer import Balancer, create_balancer
 from baobabring.balancing._candidate import Candidate
-from baobabring.balancing._cold_fold import COLD_STREAM
 from baobabring.balancing._cold_start import ColdStartGuard
+from baobabring.balancing._cold_start_fold import COLD_START_STREAM
 from baobabring.balancing._ejection import OutlierEjection
 from baobabring.balancing._policy import POLICIES, TargetPolicy
 from baobabring.balancing._settings import BalancingSettings
@@ -23,7 +23,7 @@
     target_key,
 )
 
-# Importing a module of policies registers them.
+# Importing a policy module registers its policies.
 PLUGIN_MODULES = (
     _hot_cold,
     _least_in_flight,
@@ -34,7 +34,7 @@
 )
 
 __all__ = [
-    "COLD_STREAM",
+    "COLD_START_STREAM",
     "POLICIES",
     "Balancer",
     "BalancingSettings",
--- a/packages/baobabring/baobabring/balancing/_balancer.py
+++ b/packages/baobabring/baobabring/balancing/_balancer.py
@@ -1,4 +1,4 @@
-"""Choice of a target for each call."""
+"""Choice of a target for each call, and accounting of its attempts."""
 
 from random import Random
 
@@ -6,7 +6,7 @@
 from baobabring.balancing._cold_start import ColdStartGuard
 from baobabring.balancing._ejection import OutlierEjection
 from baobabring.balancing._observer import OutcomeObserver
-from baobabring.balancing._peers import AgeScale, PeerLoad
+from baobabring.balancing._peers import DecayScale, PeerLoad
 from baobabring.balancing._policy import POLICIES
 from baobabring.balancing._service import (
     PROBATION_ANSWERS,
@@ -27,21 +27,21 @@
     ZoneState,
 )
 
-SCAN_LIMIT = 48
+MAX_SCANNED_TARGETS = 48
 INITIAL_DECAY_S = 0.06
-IDLE_PEERS_CALLS = 0.5
+PEERS_IDLE_BELOW_CALLS = 0.5
 NO_TARGETS: frozenset[str] = frozenset()
 
 
 class Balancer:
-    """Choose targets, and account for the attempts sent to them.
+    """Choose targets, and count the attempts in flight to each of them.
 
     Parameters
     ----------
     cold_start : ColdStartGuard
         Limits the calls to targets in cold start.
     sharing : InFlightSharing
-        Tells peers of the attempts in flight.
+        Sends the counts of attempts in flight to peers.
     """
 
     def __init__(
@@ -67,10 +67,10 @@
         self._ejected: set[str] = set()
 
     def configure(self, configuration: Configuration, now_s: float) -> None:
-        """Take a configuration; the state of targets that stay is kept."""
+        """Apply a configuration, and keep the state of targets that remain in it."""
         previous = self._entries
         were_in_use = {t for t, entry in previous.items() if entry.in_use}
-        # Targets that left stay known while they have attempts in flight.
+        # Removed targets are kept until their attempts in flight have ended.
         self._entries = {
             target_id: entry
             for target_id, entry in previous.items()
@@ -90,177 +90,186 @@
                 for target in service.targets
             }
         )
-        self._note_returns(configuration.revision, set(previous), were_in_use, now_s)
-        self._peers.track(
+        self._record_returns(configuration.revision, set(previous), were_in_use, now_s)
+        self._peers.set_targets(
             [(e.candidate, e.service.scale) for e in self._entries.values()]
         )
         self._revision = configuration.revision
         self._ejected = {t for t in self._ejected if t in self._entries}
         for service in self._services.values():
-            self._sort_targets(service, now_s)
+            self._classify_targets(service, now_s)
 
     def set_live(self, instance_ids: frozenset[str]) -> None:
-        """Take the live instances; counts of peers that have gone are dropped."""
+        """Set the live instances, and drop the counts of all other peers."""
         self.cold_start.set_live(instance_ids)
-        self.sharing.keep(instance_ids)
+        self.sharing.retain_peers(instance_ids)
 
     @property
     def ejected(self) -> frozenset[str]:
-        """Return the targets that get no calls for now since they failed."""
+        """Return the targets that are ejected at present and get no calls."""
         return frozenset(self._ejected)
 
     def choose(
-        self, service_id: str, now_s: float, exclude: frozenset[str] = NO_TARGETS
+        self,
+        service_id: str,
+        now_s: float,
+        excluded_targets: frozenset[str] = NO_TARGETS,
     ) -> str | None:
-        """Return a target with room for one more attempt.
+        """Return a target with capacity for one more attempt.
 
-        None means that every usable target is full as far as this instance knows.
+        None means that, by the counts of this instance, every usable target is full.
         """
-        room = self._room(service_id, now_s, exclude)
-        if not room:
+        available = self._get_available(service_id, now_s, excluded_targets)
+        if not available:
             return None
         policy = self._services[service_id].policy
-        return policy.choose(room, now_s, self._rng).target_id
+        return policy.choose(available, now_s, self._rng).target_id
 
-    def has_room(self, service_id: str, now_s: float) -> bool:
-        """Tell whether any target could take one more attempt."""
-        service = self._service(service_id, now_s)
+    def has_capacity(self, service_id: str, now_s: float) -> bool:
+        """Return whether any target has capacity for one more attempt."""
+        service = self._get_service(service_id, now_s)
         if service is None:
             return False
         factor = service.scale.factor(now_s) if self._uses_peers else 0.0
-        for candidate in self._scanned(service.warm):
+        for candidate in self._get_scan_window(service.warm):
             in_flight = candidate.own_in_flight + candidate.peers_scaled * factor
             if in_flight <= candidate.wait_limit:
                 return True
-        return bool(service.cold and self._cold_room(service, now_s))
+        return bool(service.cold and self._get_available_cold(service, now_s))
 
     def has_targets(self, service_id: str) -> bool:
-        """Tell whether a service has targets that operators let take new work."""
+        """Return whether operators allow new calls to any target of a service."""
         service = self._services.get(service_id)
         return service is not None and any(
             entry.in_use for entry in service.entries.values()
         )
 
     def usable_capacity(self, service_id: str, now_s: float) -> float:
-        """Return how many calls at once the service's usable targets bear."""
-        service = self._service(service_id, now_s)
+        """Return how many concurrent calls the service's usable targets can take."""
+        service = self._get_service(service_id, now_s)
         if service is None:
             return 0.0
         warm = sum(candidate.slots for candidate in service.warm)
         cold = sum(
-            self.cold_start.may_start(c.target_id, 0.0, now_s) is not None
+            self.cold_start.get_latest_deadline_s(c.target_id, 0.0, now_s) is not None
             for c in service.cold
         )
         return warm * self._settings.oversubscription + cold
 
     def target(self, target_id: str) -> Target:
-        """Return a target's description; raises KeyError for an unknown one."""
+        """Return a target's description; raises KeyError if it is unknown."""
         return self._entries[target_id].target
 
     def attempt_started(
         self, target_id: str, now_s: float, deadline_s: float = float("inf")
     ) -> float:
-        """Account for an attempt, and return the deadline that it must keep.
+        """Record the start of an attempt, and return the deadline that it must meet.
 
-        The deadline is earlier than `deadline_s` for a target in cold start, and
-        past when the target may no longer take the attempt.
+        For a target in cold start the deadline is at most the end of the lease, or
+        at most `now_s` if the target may no longer take the attempt.
         """
         entry = self._entries[target_id]
         candidate = entry.candidate
         if not self.cold_start.is_warm(target_id):
-            lease_end_s = self.cold_start.may_start(
+            lease_end_s = self.cold_start.get_latest_deadline_s(
                 target_id, self._in_flight(entry, now_s), now_s
             )
             deadline_s = min(deadline_s, now_s if lease_end_s is None else lease_end_s)
         candidate.own_in_flight += 1
-        entry.bounds_s.append(deadline_s)
-        self.sharing.count_changed(candidate)
+        entry.attempt_deadlines_s.append(deadline_s)
+        self.sharing.record_count(candidate)
         return deadline_s
 
     def attempt_ended(
         self, target_id: str, outcome: AttemptOutcome | None, now_s: float
     ) -> None:
-        """Account for the end of an attempt; None stands for a cancelled one."""
+        """Record the end of an attempt; the outcome is None if it was cancelled."""
         entry = self._entries[target_id]
         entry.candidate.own_in_flight -= 1
-        self.sharing.count_changed(entry.candidate)
-        deadline_s = max(entry.bounds_s)
-        entry.bounds_s.remove(deadline_s)
+        self.sharing.record_count(entry.candidate)
+        deadline_s = max(entry.attempt_deadlines_s)
+        entry.attempt_deadlines_s.remove(deadline_s)
         may_run = outcome is None or isinstance(outcome, Lost)
         if may_run and not self.cold_start.is_warm(target_id):
-            self.cold_start.abandon(target_id, deadline_s, now_s)
+            self.cold_start.record_abandoned_call(target_id, deadline_s, now_s)
         if outcome is not None and self._observer.observe(entry, outcome, now_s):
-            self._sort_targets(entry.service, now_s)
+            self._classify_targets(entry.service, now_s)
         if not entry.in_use and not entry.candidate.own_in_flight:
             self._drop_if_removed(entry)
 
     def report(self, target_id: str, report: LoadReport, now_s: float) -> None:
-        """Take in the load report of a probe."""
+        """Record the load report of a probe."""
         entry = self._entries.get(target_id)
         if entry is None:
             return
         self.cold_start.report(target_id, report, now_s)
-        if self._observer.take_report(entry, report, now_s):
-            self._sort_targets(entry.service, now_s)
+        if self._observer.record_report(entry, report, now_s):
+            self._classify_targets(entry.service, now_s)
 
-    def _room(
-        self, service_id: str, now_s: float, exclude: frozenset[str]
+    def _get_available(
+        self, service_id: str, now_s: float, excluded_targets: frozenset[str]
     ) -> list[Candidate]:
-        """Return targets with a free slot, else those at which a call may wait."""
-        service = self._service(service_id, now_s)
+        """Return the targets with a free slot, else those at which a call may wait."""
+        service = self._get_service(service_id, now_s)
         if service is None:
             return []
         factor = service.scale.factor(now_s) if self._uses_peers else 0.0
-        room = []
-        wait = []
-        for candidate in self._scanned(service.warm):
-            if candidate.target_id in exclude:
+        with_free_slot = []
+        below_wait_limit = []
+        for candidate in self._get_scan_window(service.warm):
+            if candidate.target_id in excluded_targets:
                 continue
             candidate.peers_in_flight = peers = candidate.peers_scaled * factor
             in_flight = candidate.own_in_flight + peers
-            if in_flight <= candidate.room_limit:
-                room.append(candidate)
+            if in_flight <= candidate.free_slot_limit:
+                with_free_slot.append(candidate)
             elif in_flight <= candidate.wait_limit:
-                wait.append(candidate)
+                below_wait_limit.append(candidate)
         if service.cold:
-            cold = self._cold_room(service, now_s)
-            room += [c for c in cold if c.target_id not in exclude]
-        return room or wait
+            cold = self._get_available_cold(service, now_s)
+            with_free_slot += [c for c in cold if c.target_id not in excluded_targets]
+        return with_free_slot or below_wait_limit
 
-    def _scanned(self, candidates: list[Candidate]) -> list[Candidate]:
-        """Return the candidates, or a random run of them if they are many."""
+    def _get_scan_window(self, candidates: list[Candidate]) -> list[Candidate]:
+        """Return all candidates, or a window with a random start if they are many."""
         count = len(candidates)
-        if count <= SCAN_LIMIT:
+        if count <= MAX_SCANNED_TARGETS:
             return candidates
         start = int(self._rng.random() * count)
-        end = start + SCAN_LIMIT
+        end = start + MAX_SCANNED_TARGETS
         return candidates[start:end] + candidates[: max(0, end - count)]
 
-    def _cold_room(self, service: ServiceState, now_s: float) -> list[Candidate]:
-        room = []
+    def _get_available_cold(
+        self, service: ServiceState, now_s: float
+    ) -> list[Candidate]:
+        """Return the cold targets that may take a call, and record the demand."""
+        available = []
         for candidate in service.cold:
             target_id = candidate.target_id
-            self.cold_start.want(target_id, now_s)
+            self.cold_start.record_demand(target_id, now_s)
             in_flight = self._in_flight(service.entries[target_id], now_s)
-            # Policies weigh cold and warm targets by counts of the same age.
+            # Policies must compare cold and warm targets by counts of the same age.
             candidate.peers_in_flight = in_flight - candidate.own_in_flight
-            if self.cold_start.may_start(target_id, in_flight, now_s) is not None:
-                room.append(candidate)
-        return room
+            if (
+                self.cold_start.get_latest_deadline_s(target_id, in_flight, now_s)
+                is not None
+            ):
+                available.append(candidate)
+        return available
 
     def _in_flight(self, entry: TargetEntry, now_s: float) -> float:
         factor = entry.service.scale.factor(now_s)
         peers = entry.candidate.peers_scaled * factor
         return entry.candidate.own_in_flight + max(0.0, peers)
 
-    def _service(self, service_id: str, now_s: float) -> ServiceState | None:
-        """Return the service with its targets sorted as of now."""
+    def _get_service(self, service_id: str, now_s: float) -> ServiceState | None:
+        """Return the service with its targets classified as of now."""
         service = self._services.get(service_id)
         if service is None:
             return None
         is_old = service.cold_version != self.cold_start.version
-        if is_old or now_s >= service.next_return_s:
-            self._sort_targets(service, now_s)
+        if is_old or now_s >= service.next_return_at_s:
+            self._classify_targets(service, now_s)
         if service.scale.is_stale(now_s):
             self._peers.rebase(now_s)
         return service
@@ -278,37 +287,37 @@
                 service.service_id,
                 POLICIES.get(self._settings.policy)(),
                 OutlierEjection(self._settings),
-                AgeScale(now_s, INITIAL_DECAY_S),
+                DecayScale(now_s, INITIAL_DECAY_S),
             )
         state.entries = {}
         for target in service.targets:
             earlier = previous.get(target.target_id)
             entry = create_entry(target, state, earlier)
             entry.candidate.local_zone = target.zone == self._zone
-            entry.set_limits(self._settings.oversubscription)
+            entry.update_limits(self._settings.oversubscription)
             entry.in_use = (
                 target.state is TargetState.ACTIVE
                 and configuration.zone_state(target.zone) is ZoneState.IN
             )
             state.entries[target.target_id] = entry
             self._entries[target.target_id] = entry
-        state.ejection.configure({e for e in state.entries if state.entries[e].in_use})
+        state.ejection.configure({t for t in state.entries if state.entries[t].in_use})
         return state
 
-    def _note_returns(
+    def _record_returns(
         self, revision: int, known: set[str], were_in_use: set[str], now_s: float
     ) -> None:
-        """Send targets through a cold start that were out of use or are new."""
+        """Begin a cold start of known targets that came into use with a revision."""
         if self._revision is None:
             return
         for target_id, entry in self._entries.items():
             if not entry.in_use or target_id in were_in_use:
                 continue
-            if target_id in known or self.cold_start.knows(target_id):
-                self.cold_start.returned(target_id, revision, now_s)
+            if target_id in known or self.cold_start.has_state(target_id):
+                self.cold_start.record_return(target_id, revision, now_s)
 
-    def _sort_targets(self, service: ServiceState, now_s: float) -> None:
-        """Sort the targets in use into warm and cold ones; leave out ejected ones."""
+    def _classify_targets(self, service: ServiceState, now_s: float) -> None:
+        """Classify the targets in use as warm or cold, and leave out ejected ones."""
         service.cold_version = self.cold_start.version
         service.warm = []
         service.cold = []
@@ -322,21 +331,21 @@
                 self._ejected.add(target_id)
                 continue
             if was_ejected:
-                self._take_back(entry, now_s)
+                self._start_probation(entry, now_s)
             is_warm = self.cold_start.is_warm(target_id)
             (service.warm if is_warm else service.cold).append(entry.candidate)
-        service.next_return_s = service.ejection.next_return_s(now_s)
-
-    def _take_back(self, entry: TargetEntry, now_s: float) -> None:
-        """Let an ejected target come back with a small load."""
-        entry.probation_left = PROBATION_ANSWERS
-        entry.set_limits(self._settings.oversubscription)
-        # A target that nobody reached may have started again; one that peers use
-        # has not.
+        service.next_return_at_s = service.ejection.next_return_at_s(now_s)
+
+    def _start_probation(self, entry: TargetEntry, now_s: float) -> None:
+        """Begin the probation of a target whose ejection ended."""
+        entry.probation_answers_left = PROBATION_ANSWERS
+        entry.update_limits(self._settings.oversubscription)
+        # A target that was unreachable may have restarted. Peers' calls in flight
+        # show that it has not.
         target_id = entry.target.target_id
         peers = self._in_flight(entry, now_s) - entry.candidate.own_in_flight
         if entry.service.ejection.was_unreachable(target_id) and (
-            peers < IDLE_PEERS_CALLS
+            peers < PEERS_IDLE_BELOW_CALLS
         ):
             self.cold_start.turned_cold(target_id, now_s)
 
@@ -348,7 +357,7 @@
 def create_balancer(
     instance_id: str, zone: str, settings: BalancingSettings, rng: Random
 ) -> Balancer:
-    """Return a balancer with its sharing and its guard of cold starts."""
+    """Create a balancer with its sharing and its cold start guard."""
     peers = PeerLoad()
     holder = f"{instance_id}/{rng.getrandbits(64):016x}"
     cold_start = ColdStartGuard(instance_id, holder, settings)
--- a/packages/baobabring/baobabring/balancing/_candidate.py
+++ b/packages/baobabring/baobabring/balancing/_candidate.py
@@ -1,4 +1,4 @@
-"""State of one target as this instance sees it."""
+"""Load and latency of one target as known to this instance."""
 
 from dataclasses import dataclass
 
@@ -8,38 +8,38 @@
 
 @dataclass(slots=True, eq=False)
 class Candidate:
-    """Hold what a policy may weigh about one target.
+    """Represent one target to the policies.
 
-    The object lives as long as the target; the balancer updates it in place, so a
+    The balancer keeps one object per target and updates it in place, so that a
     choice copies nothing.
 
     Parameters
     ----------
-    room_limit : float
-        A slot is free while own and peers' calls are at most this many.
+    free_slot_limit : float
+        A slot is free while own and peers' calls in flight are at most this many.
     wait_limit : float
         A call may wait at the target while they are at most this many.
     peers_in_flight : float
-        Calls of all other instances, each weighted by the age of the information;
-        brought up to date by the balancer before each choice.
+        Calls of all other instances, each weighted by the age of the count; the
+        balancer updates it before each choice.
     peers_scaled : float
-        The same sum times a factor that all targets of the service share.
+        The same sum divided by a factor that all targets of the service share.
     latency_ms : float
         Moving average of the time to the first byte; 0 while unknown.
     latency_ratio : float
         `latency_ms` over the service's mean as of `latency_at_s`.
     peak_latency_ms : float
-        Moving average that follows rises at once and falls slowly.
+        Moving average that rises at once and decays slowly.
     failure_cost : float
-        Cost of failed attempts in units of load as of `failure_at_s`.
+        Cost of failed attempts as of `failure_at_s`, in calls.
     probe_in_flight : int
-        Calls in flight that the target itself reported last.
+        Calls in flight in the target's latest load report.
     """
 
     target_id: str
     slots: int
     local_zone: bool = False
-    room_limit: float = 0.0
+    free_slot_limit: float = 0.0
     wait_limit: float = 0.0
     own_in_flight: int = 0
     peers_in_flight: float = 0.0
--- a/packages/baobabring/baobabring/balancing/_cold_fold.py
+++ b/packages/baobabring/baobabring/balancing/_cold_start_fold.py
@@ -1,4 +1,4 @@
-"""Records of cold starts in the platform's log, and their fold."""
+"""Records of cold starts in the platform's log, and the state they add up to."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 if TYPE_CHECKING:
     from baobabring.platform import LogRecord
 
-COLD_STREAM = "cold-leases"
+COLD_START_STREAM = "cold-leases"
 NEVER_COLD = -1
 
 
 class Lease(msgspec.Struct, frozen=True, tag="lease"):
-    """Propose that the holder alone may call a cold target until a point in time."""
+    """Propose that only the holder may call a cold target until the lease expires."""
 
     target_id: str
     holder: str
     expires_at_s: float
 
 
-class Warm(msgspec.Struct, frozen=True, tag="warm"):
-    """Tell that a target bears full load after the record of coldness named."""
+class TurnedWarm(msgspec.Struct, frozen=True, tag="warm"):
+    """Record that a target can take full load after the cold record `cold_epoch`."""
 
     target_id: str
     cold_epoch: int
 
 
-class Cold(msgspec.Struct, frozen=True, tag="cold"):
-    """Tell that a target turned cold, or came back as of a configuration revision.
+class TurnedCold(msgspec.Struct, frozen=True, tag="cold"):
+    """Record that a target turned cold, or returned in a configuration revision.
 
-    Without a revision the record counts only while `cold_epoch` is the newest.
+    Without a revision the record takes effect only if `cold_epoch` is the newest.
     """
 
     target_id: str
@@ -39,21 +39,21 @@
     revision: int = 0
 
 
-ColdRecord = Lease | Warm | Cold
+ColdStartRecord = Lease | TurnedWarm | TurnedCold
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(tuple[ColdRecord, ...])
+_decoder = msgspec.msgpack.Decoder(tuple[ColdStartRecord, ...])
 
 
-def encode_records(records: tuple[ColdRecord, ...]) -> bytes:
+def encode_records(records: tuple[ColdStartRecord, ...]) -> bytes:
     """Encode records as one payload."""
     return _encoder.encode(records)
 
 
-class ColdState(msgspec.Struct):
-    """Hold what the log says of one target.
+class ColdStartState(msgspec.Struct):
+    """Represent one target as of the records read so far.
 
-    `cold_epoch` is the offset of the newest record of coldness.
+    `cold_epoch` is the offset of the target's newest cold record.
     """
 
     cold_epoch: int = NEVER_COLD
@@ -65,79 +65,79 @@
     expires_at_s: float = float("-inf")
 
 
-class ColdSnapshot(msgspec.Struct, frozen=True):
-    """Hold the state of all targets before the record of an offset."""
+class ColdStartSnapshot(msgspec.Struct, frozen=True):
+    """Represent the state of all targets before the record at `next_offset`."""
 
     next_offset: int
     lacks_records: bool
-    states: dict[str, ColdState]
+    states: dict[str, ColdStartState]
 
 
-_snapshot_decoder = msgspec.msgpack.Decoder(ColdSnapshot)
+_snapshot_decoder = msgspec.msgpack.Decoder(ColdStartSnapshot)
 
 
-def encode_snapshot(snapshot: ColdSnapshot) -> bytes:
+def encode_snapshot(snapshot: ColdStartSnapshot) -> bytes:
     """Encode a snapshot for a peer."""
     return _encoder.encode(snapshot)
 
 
-def decode_snapshot(payload: bytes) -> ColdSnapshot:
-    """Decode a peer's snapshot; raises msgspec.MsgspecError for anything else."""
+def decode_snapshot(payload: bytes) -> ColdStartSnapshot:
+    """Decode a peer's snapshot; raises msgspec.MsgspecError if it is invalid."""
     return _snapshot_decoder.decode(payload)
 
 
-class ColdFold:
-    """Fold records in the log's order, the same way at every instance.
+class ColdStartFold:
+    """Apply records in the log's order, with the same result at every instance.
 
     Parameters
     ----------
     lease_limit_s : float
-        Longest lease, from its append on, that is accepted.
+        Longest accepted lease, counted from its append.
     clock_skew_s : float
-        Largest difference assumed between the clocks of a holder and the log.
+        Largest assumed difference between the clocks of a holder and the log.
     """
 
     def __init__(self, lease_limit_s: float, clock_skew_s: float) -> None:
         self._lease_limit_s = lease_limit_s
         self._clock_skew_s = clock_skew_s
-        self._states: dict[str, ColdState] = {}
+        self._states: dict[str, ColdStartState] = {}
 
-    def state(self, target_id: str) -> ColdState:
-        """Return what is known of a target; an unknown one is in cold start."""
-        return self._states.get(target_id) or ColdState()
+    def state(self, target_id: str) -> ColdStartState:
+        """Return the state of a target; a target without records is in cold start."""
+        return self._states.get(target_id) or ColdStartState()
 
-    def knows(self, target_id: str) -> bool:
-        """Tell whether any record names the target."""
+    def has_state(self, target_id: str) -> bool:
+        """Return whether any record names the target."""
         return target_id in self._states
 
-    def snapshot(self, next_offset: int, lacks_records: bool) -> ColdSnapshot:
-        """Return the state of all targets, as of the offset to read next."""
-        return ColdSnapshot(next_offset, lacks_records, self._states)
+    def snapshot(self, next_offset: int, lacks_records: bool) -> ColdStartSnapshot:
+        """Return the state of all targets before the record at `next_offset`."""
+        return ColdStartSnapshot(next_offset, lacks_records, self._states)
 
-    def load(self, snapshot: ColdSnapshot) -> None:
-        """Take over what a peer knows better; the newer record of coldness wins."""
+    def load(self, snapshot: ColdStartSnapshot) -> None:
+        """Update targets whose cold record in a peer's snapshot is at least as new."""
         for target_id, state in snapshot.states.items():
             if state.cold_epoch >= self.state(target_id).cold_epoch:
                 self._states[target_id] = state
 
     def apply(self, log_record: LogRecord) -> None:
-        """Apply one record of the log; payloads that can't be read have no effect."""
+        """Apply one record of the log, and ignore it if its payload is invalid."""
         try:
             records = _decoder.decode(log_record.payload)
         except msgspec.DecodeError:
             return
         for record in records:
-            state = self._states.setdefault(record.target_id, ColdState())
+            state = self._states.setdefault(record.target_id, ColdStartState())
             match record:
                 case Lease():
                     self._apply_lease(state, record, log_record.appended_at_s)
-                case Warm():
+                case TurnedWarm():
                     _apply_warm(state, record, log_record.appended_at_s)
-                case Cold():
+                case TurnedCold():
                     _apply_cold(state, record, log_record)
 
     def _apply_lease(
-        self, state: ColdState, lease: Lease, appended_at_s: float
+        self, state: ColdStartState, lease: Lease, appended_at_s: float
     ) -> None:
         latest_s = appended_at_s + self._lease_limit_s + self._clock_skew_s
         if not appended_at_s < lease.expires_at_s <= latest_s:
@@ -151,14 +151,14 @@
         state.expires_at_s = lease.expires_at_s
 
 
-def _apply_warm(state: ColdState, warm: Warm, appended_at_s: float) -> None:
+def _apply_warm(state: ColdStartState, warm: TurnedWarm, appended_at_s: float) -> None:
     if warm.cold_epoch != state.cold_epoch or state.warm:
         return
     state.warm = True
     state.warm_at_s = appended_at_s
 
 
-def _apply_cold(state: ColdState, cold: Cold, log_record: LogRecord) -> None:
+def _apply_cold(state: ColdStartState, cold: TurnedCold, log_record: LogRecord) -> None:
     if cold.revision:
         if cold.revision <= state.revision:
             return
--- a/packages/baobabring/baobabring/balancing/_ejection.py
+++ b/packages/baobabring/baobabring/balancing/_ejection.py
@@ -1,18 +1,18 @@
-"""Ejection of targets that behave far worse than the others of their service."""
+"""Outlier ejection: targets far worse than others of their service are left out."""
 
 from dataclasses import dataclass
 
 from baobabring.balancing._settings import BalancingSettings
 
 LATENCY_RATIO_LIMIT = 5.0
-GOOD_ANSWERS_TO_FORGIVE = 20
+GOOD_ANSWERS_TO_RESET = 20
 SUSPECT_FAILURES = 3
-OBSERVER_SUSPECT_SHARE = 0.5
+MAX_SUSPECT_SHARE = 0.5
 
 
 @dataclass(slots=True)
-class _Record:
-    """Hold what a target showed; `failures` counts bad attempts in a row."""
+class _TargetHealth:
+    """Represent the health of a target; `failures` counts consecutive failures."""
 
     failures: int = 0
     unreachable: bool = False
@@ -22,110 +22,114 @@
 
 
 class OutlierEjection:
-    """Eject the worst targets of one service for a while.
+    """Eject the worst targets of one service for a limited time.
 
-    Never more than a share of the targets are out. When most of them look bad the
-    fault is likely the observer's, and all targets are used again.
+    At most a share of the targets is ejected at once. If most targets are suspect,
+    the fault is likely at this instance, and all ejections are lifted.
     """
 
     def __init__(self, settings: BalancingSettings) -> None:
         self._settings = settings
-        self._records: dict[str, _Record] = {}
+        self._health: dict[str, _TargetHealth] = {}
 
     def configure(self, target_ids: set[str]) -> None:
-        """Take the targets in use; what is known of those that stay is kept."""
+        """Set the targets in use, and keep the state of those that remain."""
         for target_id in target_ids:
-            self._records.setdefault(target_id, _Record())
-        for target_id in self._records.keys() - target_ids:
-            del self._records[target_id]
+            self._health.setdefault(target_id, _TargetHealth())
+        for target_id in self._health.keys() - target_ids:
+            del self._health[target_id]
 
-    def succeeded(self, target_id: str, latency_ratio: float, now_s: float) -> bool:
-        """Take in a good answer and its latency over the service's mean.
+    def record_success(
+        self, target_id: str, latency_ratio: float, now_s: float
+    ) -> bool:
+        """Record a good answer; return whether the set of ejected targets changed.
 
-        Returns whether the set of ejected targets changed.
+        `latency_ratio` is the target's latency divided by the service's mean.
         """
-        record = self._records.get(target_id)
-        if record is None:
+        health = self._health.get(target_id)
+        if health is None:
             return False
         if latency_ratio > LATENCY_RATIO_LIMIT:
-            return self._add_failure(record, False, now_s)
-        record.failures = 0
-        record.good_answers += 1
-        if record.good_answers >= GOOD_ANSWERS_TO_FORGIVE:
-            record.ejections = 0
+            return self._add_failure(health, False, now_s)
+        health.failures = 0
+        health.good_answers += 1
+        if health.good_answers >= GOOD_ANSWERS_TO_RESET:
+            health.ejections = 0
         return False
 
-    def failed(self, target_id: str, unreachable: bool, now_s: float) -> bool:
-        """Take in a failed attempt; return whether the set of ejected changed."""
-        record = self._records.get(target_id)
-        if record is None:
+    def record_failure(self, target_id: str, unreachable: bool, now_s: float) -> bool:
+        """Record a failure; return whether the set of ejected targets changed."""
+        health = self._health.get(target_id)
+        if health is None:
             return False
-        return self._add_failure(record, unreachable, now_s)
+        return self._add_failure(health, unreachable, now_s)
 
-    def set_aside(self, target_id: str, now_s: float) -> bool:
-        """Eject a target that says it is draining; return whether that changed."""
-        record = self._records.get(target_id)
-        if record is None or record.ejected_until_s > now_s:
+    def eject_draining(self, target_id: str, now_s: float) -> bool:
+        """Eject a target that reports draining; return whether it was ejected now."""
+        health = self._health.get(target_id)
+        if health is None or health.ejected_until_s > now_s:
             return False
-        if not self._may_eject_one_more(now_s):
+        if not self._can_eject(now_s):
             return False
-        record.unreachable = False
-        record.ejected_until_s = now_s + self._settings.ejection_base_s
+        health.unreachable = False
+        health.ejected_until_s = now_s + self._settings.ejection_base_s
         return True
 
     def is_ejected(self, target_id: str, now_s: float) -> bool:
-        """Tell whether the target takes no new calls."""
-        record = self._records.get(target_id)
-        return record is not None and record.ejected_until_s > now_s
+        """Return whether the target is ejected and takes no new calls."""
+        health = self._health.get(target_id)
+        return health is not None and health.ejected_until_s > now_s
 
     def was_unreachable(self, target_id: str) -> bool:
-        """Tell whether the last failure was a lost connection or a refused one."""
-        record = self._records.get(target_id)
-        return record is not None and record.unreachable
+        """Return whether the last failure was a lost or refused connection."""
+        health = self._health.get(target_id)
+        return health is not None and health.unreachable
 
-    def next_return_s(self, now_s: float) -> float:
-        """Return when the next ejected target comes back; infinity if none is out."""
-        ends = [r.ejected_until_s for r in self._records.values()]
+    def next_return_at_s(self, now_s: float) -> float:
+        """Return when the next ejection ends; infinity if no target is ejected."""
+        ends = [r.ejected_until_s for r in self._health.values()]
         return min((end for end in ends if end > now_s), default=float("inf"))
 
-    def _add_failure(self, record: _Record, unreachable: bool, now_s: float) -> bool:
-        record.good_answers = 0
-        record.failures += 1
-        record.unreachable = unreachable
-        if record.ejected_until_s > now_s:
+    def _add_failure(
+        self, health: _TargetHealth, unreachable: bool, now_s: float
+    ) -> bool:
+        health.good_answers = 0
+        health.failures += 1
+        health.unreachable = unreachable
+        if health.ejected_until_s > now_s:
             return False
-        if record.failures < self._settings.ejection_failures:
+        if health.failures < self._settings.ejection_failures:
             return False
-        if self._suspects(now_s) > OBSERVER_SUSPECT_SHARE * len(self._records):
-            return self._take_all_back()
-        if not self._may_eject_one_more(now_s):
+        if self._count_suspects(now_s) > MAX_SUSPECT_SHARE * len(self._health):
+            return self._return_all()
+        if not self._can_eject(now_s):
             return False
-        self._eject(record, now_s)
+        self._eject(health, now_s)
         return True
 
-    def _eject(self, record: _Record, now_s: float) -> None:
-        length_s = self._settings.ejection_base_s * 2.0**record.ejections
+    def _eject(self, health: _TargetHealth, now_s: float) -> None:
+        length_s = self._settings.ejection_base_s * 2.0**health.ejections
         length_s = min(length_s, self._settings.ejection_limit_s)
-        record.ejected_until_s = now_s + length_s
-        record.ejections = min(record.ejections + 1, 30)
-        # One more failure after the return is enough.
-        record.failures = self._settings.ejection_failures - 1
+        health.ejected_until_s = now_s + length_s
+        health.ejections = min(health.ejections + 1, 30)
+        # One failure after the return ejects the target again.
+        health.failures = self._settings.ejection_failures - 1
 
-    def _suspects(self, now_s: float) -> int:
+    def _count_suspects(self, now_s: float) -> int:
         return sum(
-            record.failures >= SUSPECT_FAILURES or record.ejected_until_s > now_s
-            for record in self._records.values()
+            health.failures >= SUSPECT_FAILURES or health.ejected_until_s > now_s
+            for health in self._health.values()
         )
 
-    def _may_eject_one_more(self, now_s: float) -> bool:
-        ejected = sum(r.ejected_until_s > now_s for r in self._records.values())
-        return ejected + 1 <= self._settings.ejection_share * len(self._records)
+    def _can_eject(self, now_s: float) -> bool:
+        ejected = sum(r.ejected_until_s > now_s for r in self._health.values())
+        return ejected + 1 <= self._settings.ejection_share * len(self._health)
 
-    def _take_all_back(self) -> bool:
+    def _return_all(self) -> bool:
         changed = False
-        for record in self._records.values():
-            changed = changed or record.ejected_until_s > 0.0
-            record.ejected_until_s = 0.0
-            record.failures = 0
-            record.unreachable = False
+        for health in self._health.values():
+            changed = changed or health.ejected_until_s > 0.0
+            health.ejected_until_s = 0.0
+            health.failures = 0
+            health.unreachable = False
         return changed
--- a/packages/baobabring/baobabring/balancing/_hot_cold.py
+++ b/packages/baobabring/baobabring/balancing/_hot_cold.py
@@ -1,10 +1,10 @@
-"""Choice by a limit on calls in flight, then by latency."""
+"""Policy that excludes targets with many calls in flight, then picks by latency."""
 
 from collections.abc import Sequence
 from random import Random
 
 from baobabring.balancing._candidate import Candidate
-from baobabring.balancing._policy import POLICIES, TargetPolicy, pick
+from baobabring.balancing._policy import POLICIES, TargetPolicy, pick_random
 
 SAMPLE_SIZE = 5
 HOT_QUANTILE = 0.8
@@ -16,17 +16,17 @@
     """Apply the hot/cold rule of Prequal to a random sample.
 
     Targets above a quantile of calls in flight are hot. The fastest sampled target
-    that isn't hot wins; if all are hot, the one with the fewest calls does.
+    that isn't hot is chosen; if all are hot, the one with the fewest calls is.
     """
 
     def choose(
         self, candidates: Sequence[Candidate], now_s: float, rng: Random
     ) -> Candidate:
-        """Return the fastest candidate of the sample that isn't hot."""
+        """Return the sampled candidate with the lowest latency that isn't hot."""
         loads = sorted(_load(c, now_s) for c in candidates)
         threshold = loads[int(HOT_QUANTILE * (len(loads) - 1))]
         size = min(SAMPLE_SIZE, len(candidates))
-        sample = [pick(candidates, rng) for _ in range(size)]
+        sample = [pick_random(candidates, rng) for _ in range(size)]
         cold = [c for c in sample if _load(c, now_s) <= threshold]
         if cold:
             return min(cold, key=lambda c: c.latency_ms)
--- a/packages/baobabring/baobabring/balancing/_observer.py
+++ b/packages/baobabring/baobabring/balancing/_observer.py
@@ -1,4 +1,4 @@
-"""What attempts show of their targets."""
+"""Updates of a target's state by the outcomes of attempts."""
 
 from baobabring.balancing._cold_start import ColdStartGuard
 from baobabring.balancing._peers import PeerLoad
@@ -15,13 +15,13 @@
 
 DECAY_MIN_S = 0.02
 DECAY_MAX_S = 2.0
-DECAY_CHANGE = 1.5
+MIN_DECAY_CHANGE_RATIO = 1.5
 FAILURE_DECAY_S = 2.0
-SERVER_ERROR = 500
+MIN_SERVER_ERROR_STATUS = 500
 
 
 class OutcomeObserver:
-    """Turn outcomes of attempts into latency, cost, ejection and warmth."""
+    """Update latency, failure cost, ejection and cold start by attempt outcomes."""
 
     def __init__(
         self, settings: BalancingSettings, peers: PeerLoad, cold_start: ColdStartGuard
@@ -33,28 +33,32 @@
     def observe(
         self, entry: TargetEntry, outcome: AttemptOutcome, now_s: float
     ) -> bool:
-        """Take in an outcome; return whether the set of ejected targets changed."""
+        """Record an outcome; return whether the set of ejected targets changed."""
         report = None if isinstance(outcome, Lost) else outcome.report
-        set_aside = report is not None and self.take_report(entry, report, now_s)
-        return self._learn(entry, outcome, now_s) or set_aside
+        was_ejected = report is not None and self.record_report(entry, report, now_s)
+        return self._apply_outcome(entry, outcome, now_s) or was_ejected
 
-    def take_report(self, entry: TargetEntry, report: LoadReport, now_s: float) -> bool:
-        """Take in a load report; return whether the set of ejected targets changed."""
+    def record_report(
+        self, entry: TargetEntry, report: LoadReport, now_s: float
+    ) -> bool:
+        """Record a load report; return whether the set of ejected targets changed."""
         entry.candidate.probe_in_flight = report.in_flight
         entry.candidate.probe_at_s = now_s
         if not report.draining:
             return False
-        return entry.service.ejection.set_aside(entry.target.target_id, now_s)
+        return entry.service.ejection.eject_draining(entry.target.target_id, now_s)
 
-    def _learn(self, entry: TargetEntry, outcome: AttemptOutcome, now_s: float) -> bool:
+    def _apply_outcome(
+        self, entry: TargetEntry, outcome: AttemptOutcome, now_s: float
+    ) -> bool:
         match outcome:
             case Answered(answer, report, first_byte_ms):
-                self._note_cold(entry, report, now_s)
-                if answer.status >= SERVER_ERROR:
+                self._record_cold_report(entry, report, now_s)
+                if answer.status >= MIN_SERVER_ERROR_STATUS:
                     return self._add_failure(entry, False, now_s)
                 return self._add_success(entry, report, first_byte_ms, now_s)
             case Shed(report, reached_target):
-                self._note_cold(entry, report, now_s)
+                self._record_cold_report(entry, report, now_s)
                 if reached_target:
                     entry.add_failure_cost(now_s, FAILURE_DECAY_S)
                 else:
@@ -64,11 +68,11 @@
                 return self._add_failure(entry, unreachable, now_s)
         return False
 
-    def _note_cold(
+    def _record_cold_report(
         self, entry: TargetEntry, report: LoadReport | None, now_s: float
     ) -> None:
         if report is not None and report.cold:
-            self._cold_start.answered(entry.target.target_id, report, now_s)
+            self._cold_start.record_answer(entry.target.target_id, report, now_s)
 
     def _add_success(
         self,
@@ -80,25 +84,27 @@
         target_id = entry.target.target_id
         service = entry.service
         entry.observe_latency(first_byte_ms, now_s)
-        self._follow_service_time(service, now_s)
+        self._update_decay(service, now_s)
         if report is None or not report.cold:
-            self._cold_start.answered(target_id, report, now_s)
+            self._cold_start.record_answer(target_id, report, now_s)
         ratio = entry.candidate.latency_ratio
-        if entry.probation_left:
-            entry.probation_left -= 1
-            entry.set_limits(self._settings.oversubscription)
-        return service.ejection.succeeded(target_id, ratio, now_s)
+        if entry.probation_answers_left:
+            entry.probation_answers_left -= 1
+            entry.update_limits(self._settings.oversubscription)
+        return service.ejection.record_success(target_id, ratio, now_s)
 
     def _add_failure(self, entry: TargetEntry, unreachable: bool, now_s: float) -> bool:
         service = entry.service
         entry.add_failure_cost(now_s, FAILURE_DECAY_S)
-        return service.ejection.failed(entry.target.target_id, unreachable, now_s)
+        return service.ejection.record_failure(
+            entry.target.target_id, unreachable, now_s
+        )
 
-    def _follow_service_time(self, service: ServiceState, now_s: float) -> None:
-        """Let peers' counts lose weight within a few service times."""
+    def _update_decay(self, service: ServiceState, now_s: float) -> None:
+        """Set the decay of peers' counts to a few mean service times."""
         service_times = self._settings.decay_service_times
         decay_s = service_times * service.mean_latency_ms / 1000.0
         decay_s = min(max(decay_s, DECAY_MIN_S), DECAY_MAX_S)
         change = decay_s / service.scale.decay_s
-        if change > DECAY_CHANGE or change < 1.0 / DECAY_CHANGE:
+        if change > MIN_DECAY_CHANGE_RATIO or change < 1.0 / MIN_DECAY_CHANGE_RATIO:
             self._peers.set_decay(service.scale, decay_s, now_s)
--- a/packages/baobabring/baobabring/balancing/_policy.py
+++ b/packages/baobabring/baobabring/balancing/_policy.py
@@ -1,4 +1,4 @@
-"""Interface of the policies that choose a target."""
+"""Interface and registry of the policies that choose a target."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
@@ -12,8 +12,8 @@
 class TargetPolicy(ABC):
     """Choose one of the targets that may take a call.
 
-    `uses_peers` tells whether peers' calls in flight count against a target's
-    slots; policies that know of own calls only leave it False.
+    `uses_peers` states whether peers' calls in flight count against a target's
+    slots; policies that use only own calls leave it False.
     """
 
     uses_peers: ClassVar[bool] = False
@@ -22,12 +22,12 @@
     def choose(
         self, candidates: Sequence[Candidate], now_s: float, rng: Random
     ) -> Candidate:
-        """Return one of the candidates, of which there is at least one."""
+        """Return one of the candidates; there must be at least one."""
 
 
 POLICIES: Registry[TargetPolicy] = Registry("target policy")
 
 
-def pick(candidates: Sequence[Candidate], rng: Random) -> Candidate:
+def pick_random(candidates: Sequence[Candidate], rng: Random) -> Candidate:
     """Return a candidate drawn at random."""
     return candidates[int(rng.random() * len(candidates))]
--- a/packages/baobabring/baobabring/balancing/_round_robin.py
+++ b/packages/baobabring/baobabring/balancing/_round_robin.py
@@ -1,4 +1,4 @@
-"""Choice in turn."""
+"""Policy that picks the targets in turn."""
 
 from collections.abc import Sequence
 from random import Random
@@ -9,7 +9,7 @@
 
 @POLICIES.register("round-robin")
 class RoundRobinPolicy(TargetPolicy):
-    """Take the targets in turn."""
+    """Choose the targets in turn."""
 
     def __init__(self) -> None:
         self._turn = 0
@@ -17,6 +17,6 @@
     def choose(
         self, candidates: Sequence[Candidate], now_s: float, rng: Random
     ) -> Candidate:
-        """Return the candidate whose turn it is."""
+        """Return the next candidate in turn."""
         self._turn += 1
         return candidates[self._turn % len(candidates)]
--- a/packages/baobabring/baobabring/balancing/_service.py
+++ b/packages/baobabring/baobabring/balancing/_service.py
@@ -1,11 +1,11 @@
-"""State of one service for the choice of targets."""
+"""State of one service and its targets."""
 
 from dataclasses import dataclass, field
 from math import exp
 
 from baobabring.balancing._candidate import PEAK_DECAY_S, Candidate
 from baobabring.balancing._ejection import OutlierEjection
-from baobabring.balancing._peers import AgeScale
+from baobabring.balancing._peers import DecayScale
 from baobabring.balancing._policy import TargetPolicy
 from baobabring.model import Target
 
@@ -14,16 +14,17 @@
 FAILURE_COST_CALLS = 1.0
 FAILURE_COST_LIMIT_CALLS = 8.0
 PROBATION_ANSWERS = 3
-PROBATION_LIMIT = 0.5
+PROBATION_LIMIT_CALLS = 0.5
 HALF_CALL = 0.5
 
 
 @dataclass(slots=True, eq=False)
 class TargetEntry:
-    """Join a target's configuration with its state.
+    """Represent a target's configuration and its state.
 
-    `bounds_s` holds the deadlines of the attempts in flight; `probation_left`
-    counts the good answers until a returned target takes more than one call at once.
+    `attempt_deadlines_s` are the deadlines of the attempts in flight. A target that
+    returned from ejection takes one call at a time for `probation_answers_left` more
+    good answers.
     """
 
     target: Target
@@ -32,22 +33,22 @@
     in_use: bool
     removed: bool = False
     ejected: bool = False
-    probation_left: int = 0
-    bounds_s: list[float] = field(default_factory=list)
+    probation_answers_left: int = 0
+    attempt_deadlines_s: list[float] = field(default_factory=list)
 
-    def set_limits(self, oversubscription: float) -> None:
-        """Derive the limits on calls from slots and probation."""
+    def update_limits(self, oversubscription: float) -> None:
+        """Update the limits on calls in flight by slots and probation."""
         candidate = self.candidate
-        if self.probation_left:
-            candidate.room_limit = candidate.wait_limit = PROBATION_LIMIT
+        if self.probation_answers_left:
+            candidate.free_slot_limit = candidate.wait_limit = PROBATION_LIMIT_CALLS
             return
-        # A peer's call counts as one until its weight falls below a half.
+        # A peer's call occupies a slot until its weight falls below one half.
         slots = self.target.slots * min(1.0, oversubscription)
-        candidate.room_limit = slots - HALF_CALL
+        candidate.free_slot_limit = slots - HALF_CALL
         candidate.wait_limit = self.target.slots * oversubscription - HALF_CALL
 
     def observe_latency(self, latency_ms: float, now_s: float) -> None:
-        """Take the time to the first byte of an answer into the averages."""
+        """Update the averages by the time to the first byte of an answer."""
         candidate = self.candidate
         self.service.observe_latency(latency_ms)
         if not candidate.latency_ms:
@@ -65,7 +66,7 @@
         candidate.latency_at_s = now_s
 
     def add_failure_cost(self, now_s: float, decay_s: float) -> None:
-        """Raise the cost of the target after a failed attempt."""
+        """Increase the cost of the target after a failed attempt."""
         candidate = self.candidate
         elapsed_s = max(0.0, now_s - candidate.failure_at_s)
         left = candidate.failure_cost * max(0.0, 1.0 - elapsed_s / decay_s)
@@ -77,21 +78,21 @@
 
 @dataclass(slots=True, eq=False)
 class ServiceState:
-    """Hold a service's targets, sorted by what they may take now."""
+    """Represent a service with its targets in use, classified as warm or cold."""
 
     service_id: str
     policy: TargetPolicy
     ejection: OutlierEjection
-    scale: AgeScale
+    scale: DecayScale
     entries: dict[str, TargetEntry] = field(default_factory=dict)
     warm: list[Candidate] = field(default_factory=list)
     cold: list[Candidate] = field(default_factory=list)
     mean_latency_ms: float = 0.0
     cold_version: int = -1
-    next_return_s: float = float("inf")
+    next_return_at_s: float = float("inf")
 
     def observe_latency(self, latency_ms: float) -> None:
-        """Take the time to the first byte of an answer into the service's mean."""
+        """Update the service's mean by the time to the first byte of an answer."""
         if not self.mean_latency_ms:
             self.mean_latency_ms = max(latency_ms, 0.01)
             return
@@ -102,7 +103,7 @@
 def create_entry(
     target: Target, service: ServiceState, earlier: TargetEntry | None
 ) -> TargetEntry:
-    """Return an entry that carries over the state of an earlier one."""
+    """Create an entry with the state of an earlier one, if any."""
     if earlier is None:
         candidate = Candidate(target.target_id, target.slots)
         return TargetEntry(target, candidate, service, in_use=True)
@@ -113,6 +114,6 @@
         service,
         in_use=True,
         ejected=earlier.ejected,
-        probation_left=earlier.probation_left,
-        bounds_s=earlier.bounds_s,
+        probation_answers_left=earlier.probation_answers_left,
+        attempt_deadlines_s=earlier.attempt_deadlines_s,
     )
--- a/packages/baobabring/baobabring/balancing/_settings.py
+++ b/packages/baobabring/baobabring/balancing/_settings.py
@@ -1,35 +1,35 @@
-"""Settings of the choice of targets."""
+"""Settings of load balancing."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class BalancingSettings:
-    """Hold the settings of the section `[balancing]`.
+    """Represent the settings of the section `[balancing]`.
 
     Parameters
     ----------
     oversubscription : float
         Factor on a target's slots up to which calls are sent while no target of
-        the service has a slot free; the calls beyond the slots wait at the target.
+        the service has a free slot; calls beyond the slots wait at the target.
     decay_service_times : float
-        Time constant, in mean service times, by which peers' counts lose weight.
+        Time constant of the decay of peers' counts, in mean service times.
     share_bytes_per_s : float
-        Budget of updates of calls in flight, counted before copies to peers.
+        Budget for in-flight updates; each counts once, not once per peer.
     share_renew_ms : float
-        Time after which an instance with calls in flight confirms its counts.
+        Time after which an instance with calls in flight sends another update.
     share_refresh_ms : float
-        Time after which it tells all of its counts again.
+        Time after which an instance sends all of its counts again.
     ejection_share : float
         Largest share of a service's targets that may be ejected at once.
     cold_lease_s : float
-        Length of a lease on a target in cold start.
+        Duration of a lease on a target in cold start.
     clock_skew_s : float
-        Largest difference assumed between the clocks of instances and log.
+        Largest assumed difference between the clocks of instances and the log.
     cold_settle_s : float
-        Time between a record of coldness and the first call under a lease.
+        Time between a cold record and the first call under a lease.
     warm_after_answers : int
-        Answers under a lease after which a target counts as warm.
+        Good answers under a lease after which a target counts as warm.
     """
 
     policy: str = "shared"
--- a/packages/baobabring/baobabring/balancing/_shared.py
+++ b/packages/baobabring/baobabring/balancing/_shared.py
@@ -1,4 +1,4 @@
-"""Choice by own calls and peers' calls in flight."""
+"""Policy that picks by own and peers' calls in flight."""
 
 from collections.abc import Sequence
 from math import exp
@@ -19,9 +19,9 @@
 
 @POLICIES.register("shared")
 class SharedPolicy(TargetPolicy):
-    """Take the least loaded of a few random targets by the fleet's calls in flight.
+    """Choose the least loaded of a few random targets by the fleet's calls in flight.
 
-    Sampling and jitter keep instances with the same view from choosing the same
+    Sampling and jitter keep instances with the same counts from all choosing one
     target. Failures add cost, so that a target that fails fast doesn't look idle.
     """
 
--- a/packages/baobabring/baobabring/balancing/_sharing.py
+++ b/packages/baobabring/baobabring/balancing/_sharing.py
@@ -1,4 +1,4 @@
-"""Exchange of calls in flight between instances."""
+"""Exchange of in-flight counts between instances."""
 
 from collections.abc import Iterable
 
@@ -16,21 +16,21 @@
 UPDATE_BYTES = 48
 COUNT_BYTES = 7
 NOTICE_BYTES = 40
-BUCKET_S = 0.5
+BUDGET_BURST_S = 0.5
 SEQUENCES_PER_S = 1_000_000
 
 
 class InFlightSharing:
-    """Tell peers of own calls in flight, and take in theirs.
+    """Send own calls in flight to peers, and apply the updates of peers.
 
     Parameters
     ----------
     peers : PeerLoad
-        Where peers' counts go.
+        Stores the counts of peers.
     cold_start : ColdStartGuard
-        Where notices of targets that turned cold come from and go to.
+        Provides the cold notices to send, and applies those of peers.
     shares_counts : bool
-        Whether to tell counts, which some policies don't use, besides notices.
+        Whether to send counts besides cold notices; some policies don't use them.
     """
 
     def __init__(
@@ -53,28 +53,28 @@
         self._urgent = False
         self._sent_at_s = 0.0
         self._full_at_s = 0.0
-        self._budget_bytes = BUCKET_S * settings.share_bytes_per_s
+        self._budget_bytes = BUDGET_BURST_S * settings.share_bytes_per_s
         self._budget_at_s = 0.0
 
     def apply(self, update: InFlightUpdate, now_s: float) -> bool:
-        """Take in a peer's update; return False if it was late or repeated."""
+        """Apply a peer's update; return False if it is late or a duplicate."""
         if update.sender == self._instance_id:
             return False
         for notice in update.notices:
-            self._cold_start.notice(notice.target_id, notice.cold_epoch, now_s)
+            self._cold_start.apply_notice(notice.target_id, notice.cold_epoch, now_s)
         return self._peers.apply(update, now_s)
 
-    def forget(self, sender: str) -> None:
-        """Drop the counts of a peer that has gone."""
-        self._peers.forget(sender)
+    def remove_peer(self, sender: str) -> None:
+        """Remove the counts of a peer that is no longer live."""
+        self._peers.remove_peer(sender)
 
-    def keep(self, senders: frozenset[str]) -> None:
-        """Drop the counts of all peers but these."""
+    def retain_peers(self, senders: frozenset[str]) -> None:
+        """Remove the counts of all peers except these."""
         for sender in self._peers.senders() - senders:
-            self._peers.forget(sender)
+            self._peers.remove_peer(sender)
 
-    def count_changed(self, candidate: Candidate) -> None:
-        """Note that own calls in flight to a target changed."""
+    def record_count(self, candidate: Candidate) -> None:
+        """Record the own calls in flight to a target after a change."""
         if not self._shares_counts:
             return
         target_id = candidate.target_id
@@ -88,15 +88,15 @@
             self._changed.discard(target_id)
             return
         self._changed.add(target_id)
-        # Peers' choices hardly depend on a target that has slots to spare.
+        # A target with many free slots hardly affects the choices of peers.
         load = max(sent, in_flight) + candidate.peers_in_flight
         if load > 0.5 * candidate.slots:
             self._urgent = True
 
-    def outgoing(self, now_s: float) -> InFlightUpdate | None:
-        """Return the update to send to peers now, if any is due."""
-        self._refill(now_s)
-        notices = self._cold_start.take_notices()
+    def pop_due_update(self, now_s: float) -> InFlightUpdate | None:
+        """Return the update to send to peers now, if any; it counts as sent."""
+        self._refill_budget(now_s)
+        notices = self._cold_start.pop_notices()
         full = self._is_full_due(now_s)
         if not notices and not full and not self._is_due(now_s):
             return None
@@ -107,9 +107,9 @@
         if not notices and size_bytes > self._budget_bytes:
             return None
         self._budget_bytes -= size_bytes
-        return self._build(now_s, full, names, notices)
+        return self._build_update(now_s, full, names, notices)
 
-    def _build(
+    def _build_update(
         self,
         now_s: float,
         full: bool,
@@ -150,11 +150,13 @@
         return since_ms >= interval_ms
 
     def _is_short_of_budget(self) -> bool:
-        bucket_bytes = BUCKET_S * self._settings.share_bytes_per_s
+        bucket_bytes = BUDGET_BURST_S * self._settings.share_bytes_per_s
         return self._budget_bytes < 0.5 * bucket_bytes
 
-    def _refill(self, now_s: float) -> None:
+    def _refill_budget(self, now_s: float) -> None:
         elapsed_s = max(0.0, now_s - self._budget_at_s)
         rate = self._settings.share_bytes_per_s
         self._budget_at_s = now_s
-        self._budget_bytes = min(BUCKET_S * rate, self._budget_bytes + elapsed_s * rate)
+        self._budget_bytes = min(
+            BUDGET_BURST_S * rate, self._budget_bytes + elapsed_s * rate
+        )
--- a/packages/baobabring/baobabring/balancing/_updates.py
+++ b/packages/baobabring/baobabring/balancing/_updates.py
@@ -1,28 +1,28 @@
-"""Messages by which instances share their calls in flight."""
+"""Messages in which instances share their calls in flight."""
 
 import msgspec
 import xxhash
 
 
 class TargetCount(msgspec.Struct, frozen=True, array_like=True):
-    """Hold one instance's calls in flight to the target with this key."""
+    """Represent one instance's calls in flight to the target with this key."""
 
     target_key: int
     in_flight: int
 
 
 class ColdNotice(msgspec.Struct, frozen=True, array_like=True):
-    """Tell that a target turned cold after the record of offset `cold_epoch`."""
+    """Notify peers that a target turned cold after the record at `cold_epoch`."""
 
     target_id: str
     cold_epoch: int
 
 
 class InFlightUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """Hold the counts of one instance that changed, or all of them if `full`.
+    """Represent the changed counts of one instance, or all of them if `full`.
 
-    The sequence grows by one with each update of a process, and beyond all earlier
-    ones when the process starts again. Counts not named are as they were before.
+    The sequence increases by one with each update of a process, and is higher than
+    all earlier ones after a restart. Counts that aren't listed are unchanged.
     """
 
     sender: str
@@ -34,5 +34,5 @@
 
 
 def target_key(target_id: str) -> int:
-    """Return the 32-bit key that stands for a target in updates."""
+    """Return the 32-bit hash that identifies a target in updates."""
     return xxhash.xxh32_intdigest(target_id.encode())
--- a/packages/baobabring/baobabring/balancing/tests/fakes.py
+++ b/packages/baobabring/baobabring/balancing/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Configurations, outcomes and a log for the tests."""
+"""Configurations, outcomes, balancers and a log for the tests."""
 
 from random import Random
 
@@ -39,7 +39,7 @@
 
 
 class FakeLog:
-    """Keep one stream in memory."""
+    """Store one stream in memory."""
 
     def __init__(self) -> None:
         self.records: list[LogRecord] = []
@@ -67,11 +67,11 @@
 
 
 def warm_up(balancer: Balancer, log: FakeLog, now_s: float) -> None:
-    """Let probes and the log show that all targets are warm."""
+    """Warm up the targets by probe reports and a record in the log."""
     for index in range(100):
         report = LoadReport(0, 2, False, False)
         balancer.report(f"t{index}", report, now_s)
-    log.append(balancer.cold_start.due_proposal(now_s + 0.3), now_s + 0.3)
+    log.append(balancer.cold_start.pop_due_proposal(now_s + 0.3), now_s + 0.3)
     balancer.cold_start.apply_page(log.page(), now_s + 0.3)
 
 
--- a/packages/baobabring/baobabring/balancing/tests/test_balancer.py
+++ b/packages/baobabring/baobabring/balancing/tests/test_balancer.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of targets and of its accounts."""
+"""Tests of the choice of targets and the accounting of attempts."""
 
 import pytest
 
@@ -32,7 +32,7 @@
         balancer.attempt_started("t0", 1.0)
     assert balancer.choose("menu", 1.0) is None
     balancer.attempt_ended("t0", answered(), 1.02)
-    assert balancer.has_room("menu", 1.02)
+    assert balancer.has_capacity("menu", 1.02)
 
 
 def test_choose_returns_none_for_an_unknown_service():
@@ -45,11 +45,11 @@
     assert balancer.choose("menu", 1.0, frozenset({"t0", "t1"})) is None
 
 
-def test_peers_calls_fill_slots_until_they_are_old():
+def test_calls_of_peers_occupy_slots_until_they_decay():
     balancer = make_warm_balancer(count=1)
     balancer.sharing.apply(update({"t0": 2}, 1, 1.0), 1.0)
-    assert not balancer.has_room("menu", 1.0)
-    assert balancer.has_room("menu", 3.0)
+    assert not balancer.has_capacity("menu", 1.0)
+    assert balancer.has_capacity("menu", 3.0)
 
 
 def test_oversubscription_allows_more_calls_than_slots():
@@ -66,10 +66,10 @@
     assert chosen_targets(balancer, 1.0) == {"t1"}
 
 
-def test_policies_without_peers_see_own_calls_only():
+def test_policies_without_peer_counts_use_own_calls_only():
     balancer = make_warm_balancer(count=1, policy="two-choices")
     balancer.sharing.apply(update({"t0": 2}, 1, 1.0), 1.0)
-    assert balancer.has_room("menu", 1.0)
+    assert balancer.has_capacity("menu", 1.0)
 
 
 @pytest.mark.parametrize(
@@ -83,7 +83,7 @@
     ],
     ids=["zone out", "removed", "draining"],
 )
-def test_leaving_target_gets_no_new_work_and_finishes_its_calls(change):
+def test_target_out_of_use_gets_no_new_calls_and_finishes_its_calls(change):
     balancer = make_warm_balancer(count=2)
     balancer.attempt_started("t0", 1.0)
     balancer.configure(change, 1.1)
@@ -91,7 +91,7 @@
     balancer.attempt_ended("t0", answered(), 1.2)
 
 
-def test_removed_target_is_known_until_its_calls_end():
+def test_removed_target_is_kept_until_its_calls_end():
     balancer = make_warm_balancer(count=2)
     balancer.attempt_started("t0", 1.0)
     balancer.configure(make_configuration([make_target(1)], 2), 1.1)
@@ -109,7 +109,7 @@
     assert balancer.choose("menu", 1.1) is None
 
 
-def test_failing_target_is_ejected_and_comes_back_with_one_call():
+def test_failing_target_is_ejected_and_returns_with_one_call():
     balancer = make_warm_balancer(count=4)
     for _ in range(5):
         balancer.attempt_started("t0", 1.0)
@@ -122,16 +122,16 @@
     balancer.attempt_ended("t0", answered(), 2.5)
 
 
-def test_unreachable_target_comes_back_through_a_cold_start():
+def test_unreachable_target_returns_through_a_cold_start():
     balancer = make_warm_balancer(count=4)
     for _ in range(5):
         balancer.attempt_started("t0", 1.0)
         balancer.attempt_ended("t0", Shed(None, False), 1.0)
     assert chosen_targets(balancer, 2.5) == {"t1", "t2", "t3"}
-    assert balancer.cold_start.due_proposal(3.0) is not None
+    assert balancer.cold_start.pop_due_proposal(3.0) is not None
 
 
-def test_target_in_cold_start_is_weighed_by_the_counts_of_now():
+def test_target_in_cold_start_is_compared_by_current_counts():
     log = FakeLog()
     balancer = make_balancer()
     targets = [make_target(index) for index in range(4)]
@@ -142,15 +142,15 @@
     balancer.configure(make_configuration(targets, 2, ("zone-1",)), 1.1)
     balancer.configure(make_configuration(targets, 3), 5.0)
     for now_s in (5.1, 5.4):
-        log.append(balancer.cold_start.due_proposal(now_s), now_s)
+        log.append(balancer.cold_start.pop_due_proposal(now_s), now_s)
         balancer.cold_start.apply_page(log.page(), now_s)
-        balancer.has_room("menu", now_s)
+        balancer.has_capacity("menu", now_s)
         balancer.choose("menu", now_s)
     chosen = [balancer.choose("menu", 6.0) for _ in range(100)]
     assert chosen.count("t1") > 10
 
 
-def test_target_that_says_it_drains_is_set_aside_for_a_while():
+def test_target_that_reports_draining_is_ejected_for_a_while():
     balancer = make_warm_balancer(count=4)
     balancer.report("t0", LoadReport(0, 2, False, True), 1.0)
     assert "t0" not in chosen_targets(balancer, 1.5)
@@ -179,16 +179,16 @@
     assert balancer.usable_capacity("menu", 1.1) == 2.0
 
 
-def test_gone_peers_count_nothing():
+def test_counts_of_peers_that_are_not_live_are_dropped():
     balancer = make_warm_balancer(count=1)
     balancer.sharing.apply(update({"t0": 2}, 1, 1.0), 1.0)
     balancer.set_live(frozenset({"peer"}))
-    assert not balancer.has_room("menu", 1.0)
+    assert not balancer.has_capacity("menu", 1.0)
     balancer.set_live(frozenset({"other"}))
-    assert balancer.has_room("menu", 1.0)
+    assert balancer.has_capacity("menu", 1.0)
 
 
-def test_has_targets_counts_full_ones_but_none_that_leave():
+def test_has_targets_includes_full_but_not_removed_targets():
     balancer = make_warm_balancer(count=1)
     balancer.sharing.apply(update({"t0": 2}, 1, 1.0), 1.0)
     assert balancer.has_targets("menu")
--- a/packages/baobabring/baobabring/balancing/tests/test_cold_start.py
+++ b/packages/baobabring/baobabring/balancing/tests/test_cold_start.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from baobabring.balancing._cold_fold import ColdFold, Lease, encode_records
+from baobabring.balancing._cold_start_fold import ColdStartFold, Lease, encode_records
 from baobabring.balancing.tests.fakes import (
     FakeLog,
     answered,
@@ -21,12 +21,12 @@
 CONFIGURATION = make_configuration([make_target(0, slots=4)])
 
 
-def exchange(balancer, log: FakeLog, now_s: float) -> None:
-    log.append(balancer.cold_start.due_proposal(now_s), now_s)
+def sync_with_log(balancer, log: FakeLog, now_s: float) -> None:
+    log.append(balancer.cold_start.pop_due_proposal(now_s), now_s)
     balancer.cold_start.apply_page(log.page(), now_s)
 
 
-def make_cold(log: FakeLog, name: str = "i0", seed: int = 1):
+def make_cold_balancer(log: FakeLog, name: str = "i0", seed: int = 1):
     balancer = make_balancer(name, log, seed)
     balancer.configure(CONFIGURATION, 0.0)
     return balancer
@@ -35,109 +35,109 @@
 def turn_cold(balancer, log: FakeLog, now_s: float) -> None:
     balancer.attempt_started("t0", now_s)
     balancer.attempt_ended("t0", answered(cold=True), now_s)
-    exchange(balancer, log, now_s + 0.3)
+    sync_with_log(balancer, log, now_s + 0.3)
 
 
-def test_probe_that_says_warm_ends_the_first_cold_start():
+def test_warm_probe_report_ends_the_first_cold_start():
     log = FakeLog()
-    balancer = make_cold(log)
+    balancer = make_cold_balancer(log)
     assert balancer.choose("menu", 0.0) is None
     balancer.report("t0", LoadReport(0, 4, False, False), 0.1)
-    exchange(balancer, log, 0.1)
+    sync_with_log(balancer, log, 0.1)
     assert balancer.choose("menu", 0.1) == "t0"
 
 
 def test_first_answer_ends_the_first_cold_start():
     log = FakeLog()
-    balancer = make_cold(log)
+    balancer = make_cold_balancer(log)
     balancer.choose("menu", 0.0)
-    exchange(balancer, log, 0.1)
+    sync_with_log(balancer, log, 0.1)
     assert balancer.choose("menu", 0.2) == "t0"
     balancer.attempt_started("t0", 0.2)
     assert balancer.choose("menu", 0.2) is None
     balancer.attempt_ended("t0", answered(), 0.25)
-    exchange(balancer, log, 0.3)
+    sync_with_log(balancer, log, 0.3)
     for _ in range(4):
         balancer.attempt_started(balancer.choose("menu", 0.3), 0.3)
 
 
 def test_attempt_on_a_cold_target_ends_with_the_lease():
     log = FakeLog()
-    balancer = make_cold(log)
+    balancer = make_cold_balancer(log)
     balancer.choose("menu", 0.0)
-    exchange(balancer, log, 0.1)
+    sync_with_log(balancer, log, 0.1)
     assert balancer.attempt_started("t0", 0.2, 60.0) == 10.1
 
 
-def test_nothing_starts_without_the_log():
-    balancer = make_cold(FakeLog())
+def test_no_call_starts_without_the_log():
+    balancer = make_cold_balancer(FakeLog())
     for step in range(100):
         assert balancer.choose("menu", 0.1 * step) is None
 
 
 def test_second_instance_waits_for_the_lease_to_expire():
     log = FakeLog()
-    first, second = make_cold(log, "i0"), make_cold(log, "i1", seed=2)
+    first, second = make_cold_balancer(log, "i0"), make_cold_balancer(log, "i1", seed=2)
     first.choose("menu", 0.0)
-    exchange(first, log, 0.1)
-    exchange(second, log, 0.1)
+    sync_with_log(first, log, 0.1)
+    sync_with_log(second, log, 0.1)
     granted_s = None
     for step in range(130):
         now_s = 0.2 + 0.1 * step
         if second.choose("menu", now_s) is not None:
             granted_s = now_s
             break
-        exchange(second, log, now_s)
+        sync_with_log(second, log, now_s)
     assert 11.1 < granted_s < 11.6
 
 
 def test_cold_report_stops_calls_at_once_and_at_peers_by_notice():
     log = FakeLog()
-    first, second = make_cold(log, "i0"), make_cold(log, "i1", seed=2)
+    first, second = make_cold_balancer(log, "i0"), make_cold_balancer(log, "i1", seed=2)
     warm_up(first, log, 0.5)
     second.cold_start.apply_page(log.page(), 1.0)
     assert second.choose("menu", 2.0) == "t0"
     first.attempt_started("t0", 2.0)
     first.attempt_ended("t0", answered(cold=True), 2.0)
     assert first.choose("menu", 2.0) is None
-    second.sharing.apply(first.sharing.outgoing(2.0), 2.0)
+    second.sharing.apply(first.sharing.pop_due_update(2.0), 2.0)
     assert second.choose("menu", 2.0) is None
 
 
 def test_old_notice_doesnt_stop_a_target_that_warmed_up_again():
     log = FakeLog()
-    balancer = make_cold(log)
+    balancer = make_cold_balancer(log)
     warm_up(balancer, log, 0.5)
     turn_cold(balancer, log, 2.0)
     warm_under_lease(balancer, log, 3.0)
-    balancer.cold_start.notice("t0", -1, 9.0)
+    balancer.cold_start.apply_notice("t0", -1, 9.0)
     assert balancer.choose("menu", 9.0) == "t0"
 
 
 def warm_under_lease(balancer, log: FakeLog, now_s: float) -> None:
     balancer.choose("menu", now_s)
-    exchange(balancer, log, now_s)
+    sync_with_log(balancer, log, now_s)
     for step in range(1, 6):
         at_s = now_s + 0.1 * step
         assert balancer.choose("menu", at_s) == "t0"
         balancer.attempt_started("t0", at_s)
         balancer.attempt_ended("t0", answered(), at_s)
-    exchange(balancer, log, now_s + 1.0)
+    sync_with_log(balancer, log, now_s + 1.0)
 
 
 def test_target_that_turned_cold_needs_several_answers():
     log = FakeLog()
-    balancer = make_cold(log)
+    balancer = make_cold_balancer(log)
     warm_up(balancer, log, 0.5)
     turn_cold(balancer, log, 2.0)
     balancer.report("t0", LoadReport(0, 4, False, False), 2.5)
-    exchange(balancer, log, 2.6)
+    sync_with_log(balancer, log, 2.6)
     assert not balancer.cold_start.is_warm("t0")
     warm_under_lease(balancer, log, 3.0)
     assert balancer.cold_start.is_warm("t0")
 
 
-def test_target_back_from_draining_is_cold():
+def test_target_that_returns_from_draining_is_cold():
     balancer = make_warm_balancer(count=2)
     draining = [make_target(0, state=TargetState.DRAINING), make_target(1)]
     balancer.configure(make_configuration(draining, 2), 2.0)
@@ -146,22 +146,22 @@
     assert balancer.choose("menu", 3.0, frozenset({"t1"})) is None
 
 
-def test_lost_call_keeps_its_place_until_its_deadline():
+def test_lost_call_counts_as_in_flight_until_its_deadline():
     log = FakeLog()
-    balancer = make_cold(log)
+    balancer = make_cold_balancer(log)
     balancer.choose("menu", 0.0)
-    exchange(balancer, log, 0.1)
+    sync_with_log(balancer, log, 0.1)
     balancer.attempt_started("t0", 0.2, 3.0)
     balancer.attempt_ended("t0", None, 0.3)
     assert balancer.choose("menu", 2.9) is None
     assert balancer.choose("menu", 3.1) == "t0"
 
 
-def test_holder_with_a_slow_clock_starts_nothing():
+def test_holder_whose_clock_is_behind_starts_no_calls():
     log = FakeLog()
-    balancer = make_cold(log)
+    balancer = make_cold_balancer(log)
     balancer.choose("menu", 0.0)
-    log.append(balancer.cold_start.due_proposal(0.1), 5.0)
+    log.append(balancer.cold_start.pop_due_proposal(0.1), 5.0)
     balancer.cold_start.apply_page(log.page(), 0.2)
     assert balancer.choose("menu", 0.3) is None
 
@@ -179,8 +179,8 @@
     assert guard.next_offset == 70
 
 
-def test_log_gives_a_lease_to_another_only_after_expiry_and_skew():
-    fold = ColdFold(lease_limit_s=10.0, clock_skew_s=1.0)
+def test_lease_passes_to_another_holder_only_after_expiry_and_skew():
+    fold = ColdStartFold(lease_limit_s=10.0, clock_skew_s=1.0)
     first = encode_records((Lease("t0", "i0/1", 10.0),))
     second = encode_records((Lease("t0", "i1/1", 15.0),))
     fold.apply(LogRecord(0, 5.0, first))
@@ -200,9 +200,10 @@
 
 
 class Fleet:
-    """Run instances whose clocks differ over one log, and watch a target's calls.
+    """Simulate instances with different clocks over one log, and count calls.
 
-    A call ends at its deadline, by the clock of its instance, at the latest.
+    All calls go to one target and end at their deadline at the latest, by the clock
+    of their instance.
     """
 
     def __init__(self) -> None:
@@ -217,7 +218,7 @@
 
     def start_instance(self, index: int):
         self.seed += 1
-        balancer = make_cold(self.log, f"i{index}", self.seed)
+        balancer = make_cold_balancer(self.log, f"i{index}", self.seed)
         balancer.choose("menu", self.now_s + CLOCK_OFFSETS_S[index])
         return balancer
 
@@ -229,7 +230,7 @@
             if balancer in self.balancers:
                 balancer.attempt_ended("t0", None, self.now_s)
 
-    def act(self, action: str, index: int, rng: Random) -> None:
+    def perform(self, action: str, index: int, rng: Random) -> None:
         balancer = self.balancers[index]
         now_s = self.now_s + CLOCK_OFFSETS_S[index]
         match action:
@@ -241,7 +242,7 @@
                     self.calls += 1
                     self.holders.add(balancer)
             case "propose":
-                payload = balancer.cold_start.due_proposal(now_s)
+                payload = balancer.cold_start.pop_due_proposal(now_s)
                 self.proposals += [payload] if payload else []
             case "append":
                 if self.proposals:
@@ -250,14 +251,14 @@
             case "read":
                 balancer.cold_start.apply_page(self.log.page(), now_s)
             case "end":
-                self.end_one(balancer, now_s)
+                self.end_oldest_call(balancer, now_s)
             case "restart":
                 self.balancers[index] = self.start_instance(index)
             case "view":
                 view = {f"i{i}" for i in range(INSTANCES) if rng.random() < 0.5}
                 balancer.cold_start.set_live(frozenset(view))
 
-    def end_one(self, balancer, now_s: float) -> None:
+    def end_oldest_call(self, balancer, now_s: float) -> None:
         own = [call for call in self.running if call[0] is balancer]
         if own:
             self.running.remove(own[0])
@@ -270,7 +271,7 @@
     for _ in range(STEPS):
         fleet.advance(rng.choices(PAUSES_S, PAUSE_WEIGHTS)[0])
         action = rng.choices(ACTIONS, ACTION_WEIGHTS)[0]
-        fleet.act(action, rng.randrange(INSTANCES), rng)
+        fleet.perform(action, rng.randrange(INSTANCES), rng)
         assert len(fleet.running) <= 1
     return fleet
 
@@ -281,39 +282,39 @@
     run_fleet(seed)
 
 
-def test_fleet_under_test_makes_calls_and_moves_leases():
+def test_simulated_fleet_makes_calls_and_moves_leases():
     fleets = [run_fleet(seed) for seed in range(20)]
     assert sum(fleet.calls for fleet in fleets) > 100
     assert sum(len(fleet.holders) > 1 for fleet in fleets) > 5
 
 
-def test_page_that_ends_before_the_stream_does_leaves_the_rest_to_be_read():
+def test_next_offset_follows_the_last_record_of_a_partial_page():
     log = FakeLog()
-    balancer = make_cold(log)
+    balancer = make_cold_balancer(log)
     payloads = [encode_records((Lease("t0", "other", 5.0),)) for _ in range(3)]
     records = tuple(LogRecord(i, 0.1, p) for i, p in enumerate(payloads))
     balancer.cold_start.apply_page(Page(0, 3, records[:2]), 0.2)
     assert balancer.cold_start.next_offset == 2
 
 
-def test_instance_that_cannot_read_the_log_learns_warmth_from_a_peer():
+def test_instance_that_cannot_read_the_log_loads_warm_targets_from_a_peer():
     log = FakeLog()
-    peer = make_cold(log, "i1")
+    peer = make_cold_balancer(log, "i1")
     peer.report("t0", LoadReport(0, 4, False, False), 0.1)
-    exchange(peer, log, 0.4)
-    fresh = make_cold(FakeLog(), "i2")
+    sync_with_log(peer, log, 0.4)
+    fresh = make_cold_balancer(FakeLog(), "i2")
     assert fresh.choose("menu", 0.5) is None
     assert fresh.cold_start.load(peer.cold_start.snapshot_payload())
     assert fresh.choose("menu", 0.5) == "t0"
 
 
-def test_instance_that_missed_expired_records_follows_its_peers():
+def test_instance_that_missed_expired_records_loads_the_state_of_a_peer():
     log = FakeLog()
-    peer = make_cold(log, "i1")
+    peer = make_cold_balancer(log, "i1")
     peer.report("t0", LoadReport(0, 4, False, False), 0.1)
-    exchange(peer, log, 0.4)
+    sync_with_log(peer, log, 0.4)
     turn_cold(peer, log, 1.0)
-    fresh = make_cold(FakeLog(), "i2")
+    fresh = make_cold_balancer(FakeLog(), "i2")
     end = len(log.records)
     fresh.cold_start.apply_page(Page(end, end, ()), 2.0)
     assert fresh.cold_start.lacks_records
@@ -324,10 +325,10 @@
 
 def test_snapshot_of_a_peer_that_is_behind_changes_nothing():
     log = FakeLog()
-    peer = make_cold(log, "i1")
+    peer = make_cold_balancer(log, "i1")
     payload = peer.cold_start.snapshot_payload()
     peer.report("t0", LoadReport(0, 4, False, False), 0.1)
-    exchange(peer, log, 0.4)
+    sync_with_log(peer, log, 0.4)
     assert not peer.cold_start.load(payload)
     assert not peer.cold_start.load(b"garbage")
     assert peer.choose("menu", 0.5) == "t0"
--- a/packages/baobabring/baobabring/balancing/tests/test_ejection.py
+++ b/packages/baobabring/baobabring/balancing/tests/test_ejection.py
@@ -16,39 +16,39 @@
 
 def fail_often(ejection: OutlierEjection, target_id: str, now_s: float) -> None:
     for _ in range(5):
-        ejection.failed(target_id, False, now_s)
+        ejection.record_failure(target_id, False, now_s)
 
 
-def test_failures_in_a_row_eject():
+def test_consecutive_failures_eject_a_target():
     ejection = make_ejection()
     fail_often(ejection, "t0", 1.0)
     assert ejection.is_ejected("t0", 1.5)
     assert not ejection.is_ejected("t0", 2.0)
 
 
-def test_good_answers_between_failures_keep_a_target():
+def test_good_answers_between_failures_prevent_ejection():
     ejection = make_ejection()
     for _ in range(20):
-        ejection.failed("t0", False, 1.0)
-        ejection.succeeded("t0", 1.0, 1.0)
+        ejection.record_failure("t0", False, 1.0)
+        ejection.record_success("t0", 1.0, 1.0)
     assert not ejection.is_ejected("t0", 1.0)
 
 
-def test_latency_far_above_the_others_ejects():
+def test_latency_far_above_the_mean_ejects_a_target():
     ejection = make_ejection()
     for _ in range(5):
-        ejection.succeeded("t0", 8.0, 1.0)
+        ejection.record_success("t0", 8.0, 1.0)
     assert ejection.is_ejected("t0", 1.5)
 
 
 def test_second_ejection_lasts_twice_as_long():
     ejection = make_ejection()
     fail_often(ejection, "t0", 1.0)
-    ejection.failed("t0", False, 2.0)
-    assert ejection.next_return_s(2.0) == 4.0
+    ejection.record_failure("t0", False, 2.0)
+    assert ejection.next_return_at_s(2.0) == 4.0
 
 
-def test_all_come_back_when_most_look_bad():
+def test_all_ejections_are_lifted_when_most_targets_are_suspect():
     ejection = make_ejection()
     for target_id in TARGETS[:4]:
         fail_often(ejection, target_id, 1.0)
@@ -73,11 +73,11 @@
     for target_id, event, elapsed_s in events:
         now_s += elapsed_s
         if event == "drains":
-            ejection.set_aside(target_id, now_s)
+            ejection.eject_draining(target_id, now_s)
         elif event in ("good", "slow"):
             ratio = 1.0 if event == "good" else 9.0
-            ejection.succeeded(target_id, ratio, now_s)
+            ejection.record_success(target_id, ratio, now_s)
         else:
-            ejection.failed(target_id, event == "unreachable", now_s)
+            ejection.record_failure(target_id, event == "unreachable", now_s)
         ejected = sum(ejection.is_ejected(t, now_s) for t in TARGETS)
         assert ejected <= share * len(TARGETS)
--- a/packages/baobabring/baobabring/balancing/tests/test_first_start.py
+++ b/packages/baobabring/baobabring/balancing/tests/test_first_start.py
@@ -1,4 +1,4 @@
-"""Tests of the first start of a fleet whose targets nobody knows yet."""
+"""Tests of the first start of a fleet, with no records of its targets in the log."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 
 
 class Fleet:
-    """Run instances over one log that they read every 50 ms."""
+    """Simulate instances over one log that they read every 50 ms."""
 
     def __init__(self, busy: int, idle: int) -> None:
         self.log = FakeLog()
@@ -33,7 +33,7 @@
         self.running: list[tuple[float, Balancer, str]] = []
 
     def step(self) -> None:
-        """Let 10 ms pass."""
+        """Advance the simulation by 10 ms."""
         self.now_s += STEP_S
         for call in [call for call in self.running if call[0] <= self.now_s]:
             self.running.remove(call)
@@ -45,14 +45,14 @@
                 end_s = self.now_s + SERVICE_S
                 self.running.append((end_s, balancer, target_id))
         for balancer in self.balancers:
-            payload = balancer.cold_start.due_proposal(self.now_s)
+            payload = balancer.cold_start.pop_due_proposal(self.now_s)
             self.log.append(payload, self.now_s)
         if round(self.now_s / STEP_S) % round(READ_EVERY_S / STEP_S) == 0:
             for balancer in self.balancers:
                 balancer.cold_start.apply_page(self.log.page(), self.now_s)
 
     def all_warm(self) -> bool:
-        """Tell whether every instance takes every target for warm."""
+        """Return whether every target is warm at every instance."""
         return all(
             balancer.cold_start.is_warm(f"t{index}")
             for balancer in self.balancers
--- a/packages/baobabring/baobabring/balancing/tests/test_policies.py
+++ b/packages/baobabring/baobabring/balancing/tests/test_policies.py
@@ -14,18 +14,18 @@
 
 
 @pytest.mark.parametrize("name", POLICIES.names())
-def test_policy_takes_the_only_candidate(name):
+def test_policy_chooses_the_only_candidate(name):
     assert choose_often(name, [Candidate("t0", 2)]) == {"t0"}
 
 
 @pytest.mark.parametrize("name", POLICIES.names())
-def test_policy_spreads_over_equal_candidates(name):
+def test_policy_chooses_each_of_equal_candidates(name):
     candidates = [Candidate(f"t{index}", 2) for index in range(4)]
     assert choose_often(name, candidates) == {"t0", "t1", "t2", "t3"}
 
 
 @pytest.mark.parametrize("name", ["least-in-flight", "two-choices", "shared"])
-def test_policy_weighs_own_calls(name):
+def test_policy_prefers_fewer_own_calls(name):
     policy = POLICIES.get(name)()
     busy = Candidate("t0", 2, own_in_flight=2)
     idle = Candidate("t1", 2)
@@ -43,7 +43,7 @@
     assert chosen.count(fast) > 250
 
 
-def test_peak_policy_tries_a_target_again_that_was_slow_long_ago():
+def test_peak_policy_chooses_a_target_again_that_was_slow_long_ago():
     slow = Candidate("t0", 2, peak_latency_ms=200.0, latency_at_s=0.0)
     fast = Candidate("t1", 2, peak_latency_ms=20.0, latency_at_s=60.0)
     policy = POLICIES.get("two-choices-peak")()
@@ -52,7 +52,7 @@
     assert chosen.count(slow) > 100
 
 
-def test_hot_cold_takes_the_fast_one_unless_it_is_hot():
+def test_hot_cold_prefers_the_fastest_target_that_is_not_hot():
     hot = [Candidate(f"h{i}", 2, own_in_flight=9, latency_ms=1.0) for i in range(2)]
     cold = [Candidate(f"c{i}", 2, latency_ms=10.0 + i) for i in range(10)]
     policy = POLICIES.get("hot-cold")()
@@ -62,7 +62,7 @@
     assert chosen.count(cold[0]) > chosen.count(cold[5])
 
 
-def test_shared_policy_weighs_peers_calls_and_failures():
+def test_shared_policy_prefers_fewer_peer_calls_and_failures():
     candidates = [
         Candidate("peers", 4, peers_in_flight=3.0),
         Candidate("failing", 4, failure_cost=8.0, failure_at_s=9.9),
--- a/packages/baobabring/baobabring/balancing/tests/test_sharing.py
+++ b/packages/baobabring/baobabring/balancing/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""Tests of sharing calls in flight."""
+"""Tests of the exchange of in-flight counts."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -8,7 +8,7 @@
     InFlightUpdate,
     TargetCount,
 )
-from baobabring.balancing._peers import AgeScale, PeerLoad
+from baobabring.balancing._peers import DecayScale, PeerLoad
 from baobabring.balancing._updates import target_key
 from baobabring.balancing.tests.fakes import make_warm_balancer
 from baobabring.peers import decode_message, encode_message
@@ -23,24 +23,24 @@
     return InFlightUpdate("peer", sequence, sent_at_s, full, counts)
 
 
-def make_load() -> tuple[PeerLoad, Candidate, AgeScale]:
+def make_load() -> tuple[PeerLoad, Candidate, DecayScale]:
     candidate = Candidate("t0", 4)
-    scale = AgeScale(0.0, DECAY_S)
+    scale = DecayScale(0.0, DECAY_S)
     load = PeerLoad()
-    load.track([(candidate, scale)])
+    load.set_targets([(candidate, scale)])
     return load, candidate, scale
 
 
-def peers_in_flight(candidate: Candidate, scale: AgeScale, now_s: float) -> float:
+def peers_in_flight(candidate: Candidate, scale: DecayScale, now_s: float) -> float:
     return candidate.peers_scaled * scale.factor(now_s)
 
 
-def test_update_survives_its_encoding():
+def test_encoding_and_decoding_preserves_an_update():
     update = make_update(7, 1.5, 2)
     assert decode_message(encode_message(update)) == update
 
 
-def test_counts_lose_weight_with_age():
+def test_counts_decay_with_age():
     load, candidate, scale = make_load()
     load.apply(make_update(1, 1.0, 2), 1.0)
     assert abs(peers_in_flight(candidate, scale, 1.0) - 2.0) < 1e-6
@@ -60,14 +60,14 @@
     assert peers_in_flight(candidate, scale, 1.1 + 5 * DECAY_S) < 0.02
 
 
-def test_forgotten_peer_counts_nothing():
+def test_counts_of_a_removed_peer_are_dropped():
     load, candidate, scale = make_load()
     load.apply(make_update(1, 1.0, 2), 1.0)
-    load.forget("peer")
+    load.remove_peer("peer")
     assert abs(peers_in_flight(candidate, scale, 1.0)) < 1e-9
 
 
-def test_counts_not_named_after_a_lost_update_are_dropped():
+def test_unlisted_counts_are_dropped_after_a_lost_update():
     load, candidate, scale = make_load()
     load.apply(make_update(1, 1.0, 2), 1.0)
     load.apply(InFlightUpdate("peer", 3, 1.01, False), 1.01)
@@ -81,7 +81,7 @@
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(counts=st.lists(st.integers(0, 4), min_size=15, max_size=15), arrivals=events)
-def test_late_and_repeated_updates_change_nothing(counts, arrivals):
+def test_late_and_duplicate_updates_change_nothing(counts, arrivals):
     load, candidate, scale = make_load()
     newest = -1
     now_s = 1.0
@@ -105,39 +105,39 @@
 def test_changes_are_coalesced():
     balancer = make_warm_balancer(share_interval_ms=5.0, share_idle_factor=1.0)
     balancer.attempt_started("t0", 10.0)
-    assert balancer.sharing.outgoing(10.0) is not None
+    assert balancer.sharing.pop_due_update(10.0) is not None
     balancer.attempt_started("t1", 10.001)
     balancer.attempt_started("t1", 10.002)
-    assert balancer.sharing.outgoing(10.002) is None
-    update = balancer.sharing.outgoing(10.006)
+    assert balancer.sharing.pop_due_update(10.002) is None
+    update = balancer.sharing.pop_due_update(10.006)
     assert update.counts == (TargetCount(target_key("t1"), 2),)
 
 
-def test_change_that_was_undone_is_not_sent():
+def test_reverted_change_is_not_sent():
     balancer = make_warm_balancer(share_renew_ms=1_000.0)
     balancer.attempt_started("t0", 10.0)
-    balancer.sharing.outgoing(10.0)
+    balancer.sharing.pop_due_update(10.0)
     balancer.attempt_started("t1", 10.001)
     balancer.attempt_ended("t1", None, 10.002)
-    assert balancer.sharing.outgoing(10.1) is None
+    assert balancer.sharing.pop_due_update(10.1) is None
 
 
 def test_idle_instance_sends_nothing():
     balancer = make_warm_balancer()
-    assert all(balancer.sharing.outgoing(float(t)) is None for t in range(10, 20))
+    assert all(balancer.sharing.pop_due_update(float(t)) is None for t in range(10, 20))
 
 
-def test_counts_are_not_told_under_policies_that_ignore_them():
+def test_counts_are_not_sent_under_policies_that_ignore_them():
     balancer = make_warm_balancer(policy="random")
     balancer.attempt_started("t0", 10.0)
-    assert balancer.sharing.outgoing(10.1) is None
+    assert balancer.sharing.pop_due_update(10.1) is None
 
 
-def test_lasting_calls_are_confirmed():
+def test_unchanged_counts_are_confirmed_while_calls_are_in_flight():
     balancer = make_warm_balancer(share_renew_ms=50.0)
     balancer.attempt_started("t0", 10.0)
-    balancer.sharing.outgoing(10.0)
-    assert balancer.sharing.outgoing(10.06).counts == ()
+    balancer.sharing.pop_due_update(10.0)
+    assert balancer.sharing.pop_due_update(10.06).counts == ()
 
 
 def test_updates_stay_within_their_budget():
@@ -151,15 +151,15 @@
         else:
             balancer.attempt_started("t0", now_s)
         if step % 5 == 0:
-            update = balancer.sharing.outgoing(now_s)
+            update = balancer.sharing.pop_due_update(now_s)
             sent_bytes += len(encode_message(update)) if update else 0
     assert 0.2 * rate * 10 < sent_bytes <= rate * 10.5
 
 
-def test_sequence_grows_over_a_restart():
+def test_sequence_is_higher_after_a_restart():
     sequences = []
     for now_s in (10.0, 11.0):
         balancer = make_warm_balancer()
         balancer.attempt_started("t0", now_s)
-        sequences.append(balancer.sharing.outgoing(now_s).sequence)
+        sequences.append(balancer.sharing.pop_due_update(now_s).sequence)
     assert sequences[0] < sequences[1]
--- a/packages/baobabring/baobabring/callers/_requests.py
+++ b/packages/baobabring/baobabring/callers/_requests.py
@@ -6,7 +6,7 @@
 
 from baobabring.calls import Router
 from baobabring.model import Call, Reason
-from baobabring.retries import chain_retries_left
+from baobabring.retries import parse_retries_left
 
 KEY_HEADER = "Idempotency-Key"
 DEADLINE_HEADER = "Baobab-Deadline-Ms"
@@ -118,7 +118,7 @@
         body=body,
         key=request.get_header(KEY_HEADER),
         deadline_s=now_s + min(asked_ms, limit_ms) / MS_PER_S,
-        retries_left=chain_retries_left(request.get_header(RETRIES_HEADER)),
+        retries_left=parse_retries_left(request.get_header(RETRIES_HEADER)),
         arrived_at_s=now_s,
     )
 
--- a/packages/baobabring/baobabring/calls/_engine.py
+++ b/packages/baobabring/baobabring/calls/_engine.py
@@ -48,7 +48,7 @@
     HedgePolicy,
     RetryBudget,
     own_retries,
-    retries_passed_on,
+    retries_to_forward,
 )
 
 MAX_ATTEMPTS = 3
@@ -189,7 +189,7 @@
 
     def dispatch_waiting(self, service_id: str, now_s: float) -> None:
         """Start queued calls of a service while its targets have capacity."""
-        while self.balancer.has_room(service_id, now_s):
+        while self.balancer.has_capacity(service_id, now_s):
             call_id = self.queue.pop_next(service_id, now_s)
             if call_id is None:
                 return
@@ -284,12 +284,12 @@
                 target_id=target_id,
                 address=self.balancer.target(target_id).address,
                 deadline_s=deadline_s,
-                retries_left=retries_passed_on(call.retries_left, attempt),
+                retries_left=retries_to_forward(call.retries_left, attempt),
                 new_connection=not (first and call.rule.idempotent),
             )
         )
         if first:
-            self.retry_budget.record_first_try(call.service_id, now_s)
+            self.retry_budget.record_first_attempt(call.service_id, now_s)
             self._plan_hedge(state, now_s)
         return True
 
@@ -340,7 +340,7 @@
         if call.deadline_s <= now_s or len(state.tried_targets) >= MAX_ATTEMPTS:
             return False
         left = own_retries(call.retries_left) - (len(state.tried_targets) - 1)
-        return self.retry_budget.may_retry(call.service_id, left, now_s)
+        return self.retry_budget.try_spend_retry(call.service_id, left, now_s)
 
     # Hedges
 
@@ -360,7 +360,7 @@
         call = state.call
         if not self._can_start_attempts:
             return
-        if self.retry_budget.may_retry(call.service_id, call.retries_left, now_s):
+        if self.retry_budget.try_spend_retry(call.service_id, call.retries_left, now_s):
             self._start_attempt(state, now_s)
 
     # Final answers
--- a/packages/baobabring/baobabring/probing/_budget.py
+++ b/packages/baobabring/baobabring/probing/_budget.py
@@ -1,32 +1,34 @@
-"""One instance's part of the fleet's budget for probes."""
+"""One instance's share of the fleet's budget for probes."""
 
 MS_PER_S = 1000.0
 
 
 class ProbeBudget:
-    """Hold a token bucket of target time that starts empty and saves up little.
+    """Limit the target time that one instance spends on probes, by a token bucket.
+
+    The bucket starts empty and is shallow.
 
     Parameters
     ----------
     fleet_ms_per_s : float
         Target time that the whole fleet may spend on probes.
-    least_instances : int
-        Smallest number of instances to divide by.
+    min_instances : int
+        Smallest number of instances by which the budget is divided.
     depth_ms : float
-        Target time that one instance can save up.
+        Depth of the bucket: target time that one instance can accumulate.
     settle_s : float
-        Time after the fleet's size is first known in which nothing is earned.
+        Time without refills after the fleet's size is first known.
     """
 
     def __init__(
         self,
         fleet_ms_per_s: float,
-        least_instances: int,
+        min_instances: int,
         depth_ms: float,
         settle_s: float,
     ) -> None:
         self.fleet_ms_per_s = fleet_ms_per_s
-        self.least_instances = least_instances
+        self.min_instances = min_instances
         self.depth_ms = depth_ms
         self.settle_s = settle_s
         self.tokens_ms = 0.0
@@ -34,11 +36,11 @@
         self._refilled_at_s = 0.0
 
     def set_instances(self, instances: int, now_s: float) -> None:
-        """Divide by this many instances from now on."""
+        """Divide the budget by this many instances from now on."""
         if self._instances is None:
             self._refilled_at_s = now_s + self.settle_s
         self._refill(now_s)
-        self._instances = max(instances, self.least_instances)
+        self._instances = max(instances, self.min_instances)
 
     def available_ms(self, now_s: float) -> float:
         """Return the target time that may be spent now."""
@@ -46,11 +48,11 @@
         return self.tokens_ms
 
     def spend(self, spent_ms: float) -> None:
-        """Take target time out; a debt is paid back before the next probe."""
+        """Remove target time; a negative balance delays the next probe."""
         self.tokens_ms -= spent_ms
 
     def _refill(self, now_s: float) -> None:
-        # Before the fleet's size is known, nothing is earned.
+        # The bucket isn't refilled before the fleet's size is known.
         if self._instances is None or now_s <= self._refilled_at_s:
             return
         rate_ms_per_s = self.fleet_ms_per_s / self._instances
--- a/packages/baobabring/baobabring/probing/_rendezvous.py
+++ b/packages/baobabring/baobabring/probing/_rendezvous.py
@@ -6,7 +6,7 @@
 
 
 def ranked_probers(target_id: str, instance_ids: Iterable[str]) -> list[str]:
-    """Return the instances in the order in which they answer for the target."""
+    """Return the instances in the order in which they are to probe the target."""
 
     seed = xxhash.xxh3_64_intdigest(target_id.encode())
 
--- a/packages/baobabring/baobabring/program/_cold_start_task.py
+++ b/packages/baobabring/baobabring/program/_cold_start_task.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from baobabring.balancing import COLD_STREAM, ColdStartGuard
+from baobabring.balancing import COLD_START_STREAM, ColdStartGuard
 from baobabring.platform import EventLog, ReadFailed
 from baobabring.program._metrics import count_append
 from baobabring.utils import Clock
@@ -25,7 +25,7 @@
         """Read the stream until cancelled."""
         while True:
             offset = self.guard.next_offset
-            page = await self.log.read(COLD_STREAM, offset, READ_WAIT_MS)
+            page = await self.log.read(COLD_START_STREAM, offset, READ_WAIT_MS)
             if isinstance(page, ReadFailed):
                 await asyncio.sleep(READ_RETRY_S)
             else:
@@ -36,10 +36,10 @@
         while True:
             await asyncio.sleep(PROPOSAL_STEP_S)
             now_s = self.clock.now_s()
-            payload = self.guard.due_proposal(now_s)
+            payload = self.guard.pop_due_proposal(now_s)
             if payload is not None:
                 # What became of it is seen when the stream is read.
                 outcome = await self.log.append(
-                    COLD_STREAM, payload, now_s + APPEND_LIMIT_S
+                    COLD_START_STREAM, payload, now_s + APPEND_LIMIT_S
                 )
-                count_append(COLD_STREAM, outcome)
+                count_append(COLD_START_STREAM, outcome)
--- a/packages/baobabring/baobabring/program/_dispatcher.py
+++ b/packages/baobabring/baobabring/program/_dispatcher.py
@@ -188,7 +188,7 @@
         self._attempts.pop((call.call_id, command.attempt), None)
         self.metrics.count_attempt(call.service_id, outcome)
         now_s = self.clock.now_s()
-        self.prober.traffic_seen(command.target_id, now_s)
+        self.prober.record_traffic(command.target_id, now_s)
         self.engine.attempt_ended(call.call_id, command.attempt, outcome, now_s)
         self.run_commands()
 
--- a/packages/baobabring/baobabring/program/_probe_task.py
+++ b/packages/baobabring/baobabring/program/_probe_task.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from baobabring.balancing import Balancer
-from baobabring.probing import ProbeNeed, ProbeScheduler, SharedProbe
+from baobabring.probing import ProbeReason, ProbeScheduler, SharedProbe
 from baobabring.program._metrics import PROBES
 from baobabring.program._peer_link import PeerLink
 from baobabring.targets import TargetClient
@@ -38,7 +38,7 @@
             await asyncio.sleep(STEP_S)
             now_s = self.clock.now_s()
             self.note_ejections(now_s)
-            for target_id in self.scheduler.due(now_s):
+            for target_id in self.scheduler.start_due_probes(now_s):
                 task = asyncio.ensure_future(self._probe(target_id))
                 self._probes.add(task)
                 task.add_done_callback(self._probes.discard)
@@ -47,9 +47,9 @@
         """Let ejected targets and those that came back be probed soon."""
         ejected = self.balancer.ejected
         for target_id in ejected - self._ejected:
-            self.scheduler.set_need(target_id, ProbeNeed.EJECTED, now_s)
+            self.scheduler.set_reason(target_id, ProbeReason.EJECTED, now_s)
         for target_id in self._ejected - ejected:
-            self.scheduler.set_need(target_id, ProbeNeed.RETURNED, now_s)
+            self.scheduler.set_reason(target_id, ProbeReason.RETURNED, now_s)
         self._ejected = ejected
 
     async def _probe(self, target_id: str) -> None:
@@ -58,7 +58,7 @@
         now_s = self.clock.now_s()
         if report is not None:
             self.balancer.report(target_id, report, now_s)
-        shared = self.scheduler.probe_ended(target_id, report is not None, now_s)
+        shared = self.scheduler.record_probe_end(target_id, report is not None, now_s)
         self.link.broadcast(shared)
 
     async def _ask(self, target_id: str):
--- a/packages/baobabring/baobabring/program/_sharing_task.py
+++ b/packages/baobabring/baobabring/program/_sharing_task.py
@@ -16,7 +16,7 @@
 
     def tick(self) -> None:
         """Send an update if one is due."""
-        update = self.balancer.sharing.outgoing(self.clock.now_s())
+        update = self.balancer.sharing.pop_due_update(self.clock.now_s())
         if update is not None:
             self.link.broadcast(update)
 
--- a/packages/baobabring/baobabring/program/entry/_forwarder.py
+++ b/packages/baobabring/baobabring/program/entry/_forwarder.py
@@ -78,7 +78,9 @@
             if isinstance(chosen, RefuseCall):
                 return self._give_up(progress, chosen)
             if not progress.tried:
-                self.retry_budget.record_first_try(call.service_id, self.clock.now_s())
+                self.retry_budget.record_first_attempt(
+                    call.service_id, self.clock.now_s()
+                )
             end = await self._attempt_with_hedge(progress, chosen)
             outcome = self._judge(progress, end)
             if outcome is not None:
@@ -244,7 +246,7 @@
             return False
         if now_s + LEAST_TIME_LEFT_S >= call.deadline_s:
             return False
-        return self.retry_budget.may_retry(call.service_id, 1, now_s)
+        return self.retry_budget.try_spend_retry(call.service_id, 1, now_s)
 
     def _give_up(self, progress: CallProgress, refusal: RefuseCall) -> EntryOutcome:
         if progress.may_have_run:
--- a/packages/baobabring/baobabring/program/entry/_instance.py
+++ b/packages/baobabring/baobabring/program/entry/_instance.py
@@ -228,6 +228,8 @@
     slack = limits.retry_slack * RETRY_PLANNED_SHARE / instances
     return RetrySettings(
         retry_share=limits.retry_share * RETRY_PLANNED_SHARE,
-        floor_per_s=slack * RETRY_FLOOR_SHARE / (limits.retry_window_ms / MS_PER_S),
+        min_retries_per_s=slack
+        * RETRY_FLOOR_SHARE
+        / (limits.retry_window_ms / MS_PER_S),
         burst=max(1.0, slack * RETRY_BURST_SHARE),
     )
--- a/packages/baobabring/baobabring/program/entry/tests/test_shares.py
+++ b/packages/baobabring/baobabring/program/entry/tests/test_shares.py
@@ -21,9 +21,9 @@
         for budget in budgets:
             if step % max(1, 10 // calls_per_s) == 0:
                 for _ in range(max(1, calls_per_s // 10)):
-                    budget.record_first_try("s", now_s)
+                    budget.record_first_attempt("s", now_s)
             # A quiet start saves up what the burst allows.
-            while now_s > 12 and budget.may_retry("s", 1, now_s):
+            while now_s > 12 and budget.try_spend_retry("s", 1, now_s):
                 repeats_at_s.append(now_s)
     calls_in_window = calls_per_s * instances * WINDOW_S
     allowed = limits.retry_share * calls_in_window + limits.retry_slack
--- a/packages/baobabring/baobabring/program/tests/test_probe_task.py
+++ b/packages/baobabring/baobabring/program/tests/test_probe_task.py
@@ -5,7 +5,7 @@
 from baobabring.probing import ProbeScheduler, ProbeSettings
 from baobabring.program._probe_task import ProbeTask
 
-SETTINGS = ProbeSettings(least_instances=1, settle_s=0.0, idle_after_s=100.0)
+SETTINGS = ProbeSettings(min_instances=1, settle_s=0.0, idle_after_s=100.0)
 
 
 class NoLink:
@@ -32,14 +32,14 @@
     scheduler.set_targets([f"t{n}" for n in range(4)], 1.0)
     task = ProbeTask(scheduler, balancer, None, NoLink(), None)
     for target_id in ("t0", "t1", "t2", "t3"):
-        scheduler.traffic_seen(target_id, 1.0)
-    assert scheduler.due(3.0) == []
+        scheduler.record_traffic(target_id, 1.0)
+    assert scheduler.start_due_probes(3.0) == []
     fail(balancer, "t0", 3.0)
     assert balancer.ejected == {"t0"}
     task.note_ejections(3.0)
-    assert scheduler.due(3.6) == ["t0"]
-    scheduler.probe_ended("t0", True, 3.6)
-    balancer.has_room("menu", 5.0)
+    assert scheduler.start_due_probes(3.6) == ["t0"]
+    scheduler.record_probe_end("t0", True, 3.6)
+    balancer.has_capacity("menu", 5.0)
     assert balancer.ejected == frozenset()
     task.note_ejections(5.0)
-    assert scheduler.due(5.6) == ["t0"]
+    assert scheduler.start_due_probes(5.6) == ["t0"]
--- a/packages/baobabring/baobabring/program/tests/test_recorded_bytes.py
+++ b/packages/baobabring/baobabring/program/tests/test_recorded_bytes.py
@@ -8,17 +8,17 @@
 import pytest
 
 from baobabring.balancing import ColdNotice, InFlightUpdate, TargetCount
-from baobabring.balancing._cold_fold import (
-    Cold,
-    ColdSnapshot,
-    ColdState,
+from baobabring.balancing._cold_start_fold import (
+    ColdStartSnapshot,
+    ColdStartState,
     Lease,
-    Warm,
+    TurnedCold,
+    TurnedWarm,
     decode_snapshot,
     encode_records,
     encode_snapshot,
 )
-from baobabring.balancing._cold_fold import _decoder as cold_records_decoder
+from baobabring.balancing._cold_start_fold import _decoder as cold_records_decoder
 from baobabring.claims._records import (
     Claim,
     Release,
@@ -218,14 +218,14 @@
 )
 COLD_RECORDS = (
     Lease(target_id="t-1", holder="i", expires_at_s=1.0),
-    Warm(target_id="t-1", cold_epoch=2),
-    Cold(target_id="t-1", cold_epoch=3, revision=4),
+    TurnedWarm(target_id="t-1", cold_epoch=2),
+    TurnedCold(target_id="t-1", cold_epoch=3, revision=4),
 )
-COLD_SNAPSHOT = ColdSnapshot(
+COLD_SNAPSHOT = ColdStartSnapshot(
     next_offset=9,
     lacks_records=True,
     states={
-        "t-1": ColdState(
+        "t-1": ColdStartState(
             cold_epoch=1,
             cold_at_s=2.0,
             warm=True,
--- a/packages/baobabring/baobabring/retries/__init__.py
+++ b/packages/baobabring/baobabring/retries/__init__.py
@@ -1,4 +1,4 @@
-"""Budgets of retries, by service and by chain of calls, and hedging."""
+"""Retry budgets per service and per chain of calls, and hedging policies."""
 
 from baobabring.retries._budget import (
     RetryBudget,
@@ -6,28 +6,28 @@
     create_retry_budget,
 )
 from baobabring.retries._chain import (
-    chain_retries_left,
     own_retries,
-    retries_passed_on,
+    parse_retries_left,
+    retries_to_forward,
 )
 from baobabring.retries._hedging import (
     HEDGE_POLICIES,
     HedgePolicy,
-    LateP95,
-    Never,
+    NeverHedge,
+    P95Hedge,
     create_hedge_policy,
 )
 
 __all__ = [
     "HEDGE_POLICIES",
     "HedgePolicy",
-    "LateP95",
-    "Never",
+    "P95Hedge",
+    "NeverHedge",
     "RetryBudget",
     "RetrySettings",
-    "chain_retries_left",
+    "parse_retries_left",
     "create_hedge_policy",
     "create_retry_budget",
     "own_retries",
-    "retries_passed_on",
+    "retries_to_forward",
 ]
--- a/packages/baobabring/baobabring/retries/_hedging.py
+++ b/packages/baobabring/baobabring/retries/_hedging.py
@@ -1,4 +1,4 @@
-"""Policies that say when an idempotent call gets a second, hedged try."""
+"""Policies that decide when an idempotent call gets a second, hedged attempt."""
 
 from abc import ABC, abstractmethod
 from collections import deque
@@ -13,28 +13,28 @@
 
 
 class HedgePolicy(ABC):
-    """Choose the point in time of a hedged try."""
+    """Choose the time of a hedged attempt."""
 
     @abstractmethod
     def observe(self, service_id: str, first_byte_ms: float) -> None:
-        """Record the delay of a try to the first byte of its answer."""
+        """Record the time of an attempt to the first byte of its answer."""
 
     @abstractmethod
     def hedge_at_s(
         self, service_id: str, idempotent: bool, started_at_s: float
     ) -> float | None:
-        """Return when to hedge a try that started then, or None for never."""
+        """Return when to hedge an attempt that started then, or None for never."""
 
 
 HEDGE_POLICIES: Registry[HedgePolicy] = Registry("hedge policy")
 
 
 @HEDGE_POLICIES.register("never")
-class Never(HedgePolicy):
+class NeverHedge(HedgePolicy):
     """Never hedge."""
 
     def observe(self, service_id: str, first_byte_ms: float) -> None:
-        """Ignore the delay."""
+        """Ignore the latency."""
 
     def hedge_at_s(
         self, service_id: str, idempotent: bool, started_at_s: float
@@ -43,17 +43,17 @@
         return None
 
 
-class _Delays:
-    """Keep the latest delays of a service and a quantile of them."""
+class _LatencySamples:
+    """Store the latest latencies of a service and a quantile of them."""
 
     def __init__(self) -> None:
         self._samples: deque[float] = deque(maxlen=SAMPLES_KEPT)
         self._new_samples = 0
         self.quantile_ms: float | None = None
 
-    def add(self, delay_ms: float) -> None:
-        """Add a delay and sort again when enough are new."""
-        self._samples.append(delay_ms)
+    def add(self, latency_ms: float) -> None:
+        """Add a latency, and update the quantile once enough new ones were added."""
+        self._samples.append(latency_ms)
         self._new_samples += 1
         if len(self._samples) < SAMPLES_NEEDED:
             return
@@ -64,27 +64,27 @@
 
 
 @HEDGE_POLICIES.register("late-p95")
-class LateP95(HedgePolicy):
-    """Hedge an idempotent try that is later than 95 of 100 of its service."""
+class P95Hedge(HedgePolicy):
+    """Hedge an idempotent attempt that takes longer than the p95 of its service."""
 
     def __init__(self) -> None:
-        self._services: dict[str, _Delays] = {}
+        self._services: dict[str, _LatencySamples] = {}
 
     def observe(self, service_id: str, first_byte_ms: float) -> None:
-        """Record the delay of a try to the first byte of its answer."""
-        delays = self._services.get(service_id)
-        if delays is None:
-            delays = self._services[service_id] = _Delays()
-        delays.add(first_byte_ms)
+        """Record the time of an attempt to the first byte of its answer."""
+        samples = self._services.get(service_id)
+        if samples is None:
+            samples = self._services[service_id] = _LatencySamples()
+        samples.add(first_byte_ms)
 
     def hedge_at_s(
         self, service_id: str, idempotent: bool, started_at_s: float
     ) -> float | None:
-        """Return the start plus the p95 delay, or None while it is not known."""
-        delays = self._services.get(service_id)
-        if not idempotent or delays is None or delays.quantile_ms is None:
+        """Return the start plus the p95 latency, or None while that is unknown."""
+        samples = self._services.get(service_id)
+        if not idempotent or samples is None or samples.quantile_ms is None:
             return None
-        return started_at_s + delays.quantile_ms / MS_PER_S
+        return started_at_s + samples.quantile_ms / MS_PER_S
 
 
 def create_hedge_policy(name: str) -> HedgePolicy:
--- a/packages/baobabring/baobabring/retries/tests/test_budget.py
+++ b/packages/baobabring/baobabring/retries/tests/test_budget.py
@@ -7,26 +7,26 @@
 from baobabring.retries import RetrySettings, create_retry_budget
 
 
-def test_share_of_first_tries():
-    budget = create_retry_budget(RetrySettings(retry_share=0.5, floor_per_s=0))
-    assert budget.may_retry("menu", 1, 0.0)
-    assert not budget.may_retry("menu", 1, 0.0)
-    budget.record_first_try("menu", 0.0)
-    assert not budget.may_retry("menu", 1, 0.0)
-    budget.record_first_try("menu", 0.0)
-    assert budget.may_retry("menu", 1, 0.0)
+def test_first_attempts_grant_a_share_of_a_retry():
+    budget = create_retry_budget(RetrySettings(retry_share=0.5, min_retries_per_s=0))
+    assert budget.try_spend_retry("menu", 1, 0.0)
+    assert not budget.try_spend_retry("menu", 1, 0.0)
+    budget.record_first_attempt("menu", 0.0)
+    assert not budget.try_spend_retry("menu", 1, 0.0)
+    budget.record_first_attempt("menu", 0.0)
+    assert budget.try_spend_retry("menu", 1, 0.0)
 
 
 def test_services_do_not_share_a_budget():
     budget = create_retry_budget()
-    assert budget.may_retry("menu", 1, 0.0)
-    assert budget.may_retry("orders", 1, 0.0)
+    assert budget.try_spend_retry("menu", 1, 0.0)
+    assert budget.try_spend_retry("orders", 1, 0.0)
 
 
-def test_spent_chain_costs_nothing():
+def test_chain_without_retries_does_not_spend_the_budget():
     budget = create_retry_budget()
-    assert not budget.may_retry("menu", 0, 0.0)
-    assert budget.may_retry("menu", 1, 0.0)
+    assert not budget.try_spend_retry("menu", 0, 0.0)
+    assert budget.try_spend_retry("menu", 1, 0.0)
 
 
 def test_settings_name_the_bad_value():
@@ -42,15 +42,15 @@
     ),
 )
 def test_retries_stay_within_the_share(share, steps):
-    bounds = RetrySettings(retry_share=share, floor_per_s=0.2, burst=5.0)
-    budget = create_retry_budget(bounds)
-    now_s = first_tries = retries = 0
-    for is_first_try, pause_s in steps:
+    retry_settings = RetrySettings(retry_share=share, min_retries_per_s=0.2, burst=5.0)
+    budget = create_retry_budget(retry_settings)
+    now_s = first_attempts = retries = 0
+    for is_first_attempt, pause_s in steps:
         now_s += pause_s
-        if is_first_try:
-            budget.record_first_try("menu", now_s)
-            first_tries += 1
+        if is_first_attempt:
+            budget.record_first_attempt("menu", now_s)
+            first_attempts += 1
         else:
-            retries += budget.may_retry("menu", 1, now_s)
-        allowed = 1 + share * first_tries + 0.2 * now_s
+            retries += budget.try_spend_retry("menu", 1, now_s)
+        allowed = 1 + share * first_attempts + 0.2 * now_s
         assert retries <= allowed + 1e-6
--- a/packages/baobabring/baobabring/retries/tests/test_hedging.py
+++ b/packages/baobabring/baobabring/retries/tests/test_hedging.py
@@ -7,7 +7,7 @@
     assert HEDGE_POLICIES.names() == ["late-p95", "never"]
 
 
-def test_never():
+def test_never_policy_does_not_hedge():
     policy = create_hedge_policy("never")
     policy.observe("menu", 10.0)
     assert policy.hedge_at_s("menu", True, 5.0) is None
@@ -22,8 +22,8 @@
 
 def test_late_p95_hedges_idempotent_calls_only():
     policy = create_hedge_policy("late-p95")
-    for delay_ms in range(1, 101):
-        policy.observe("menu", float(delay_ms))
+    for latency_ms in range(1, 101):
+        policy.observe("menu", float(latency_ms))
     hedge_at_s = policy.hedge_at_s("menu", True, 5.0)
     assert 5.090 <= hedge_at_s <= 5.100
     assert policy.hedge_at_s("menu", False, 5.0) is None
