--- a/packages/baobabring/baobabring/connections/__init__.py
+++ b/packages/baobabring/baobabring/connections/__init__.py
@@ -1,10 +1,10 @@
-"""HTTP/1.1 connections that carry one exchange at a time."""
+"""HTTP/1.1 client connections that carry one request at a time."""
 
 from baobabring.connections._connection import (
     ExchangeError,
     ExchangeFailure,
-    TargetConnection,
-    WireAnswer,
+    HttpConnection,
+    HttpResponse,
 )
 from baobabring.connections._pool import ConnectError, ConnectionPool
 
@@ -13,6 +13,6 @@
     "ConnectionPool",
     "ExchangeError",
     "ExchangeFailure",
-    "TargetConnection",
-    "WireAnswer",
+    "HttpConnection",
+    "HttpResponse",
 ]
--- a/packages/baobabring/baobabring/connections/_connection.py
+++ b/packages/baobabring/baobabring/connections/_connection.py
@@ -1,9 +1,8 @@
-"""One HTTP/1.1 connection that carries one exchange at a time.
+"""HTTP/1.1 client connection that carries one request at a time.
 
-An HTTP client library takes the next answer on a connection for the answer to the
-last request. Targets may send an answer twice, so the parser is the library's here
-and the exchange is ours: an answer that names another call is dropped and the
-connection is not used again.
+HTTP client libraries match the next response on a connection to the last request.
+Targets may send a response twice, so only the parser comes from a library here: a
+response with the id of another call is dropped and the connection is not reused.
 """
 
 import asyncio
@@ -12,20 +11,20 @@
 
 import httptools
 
-ANSWER_LIMIT_BYTES = 64 * 1024 * 1024
+RESPONSE_LIMIT_BYTES = 64 * 1024 * 1024
 INFORMATIONAL_STATUSES = range(100, 200)
 NO_CONTENT_STATUSES = frozenset({204, 304})
-# Answers to these name the length of a body that they don't carry.
-BODILESS_METHOD = b"HEAD "
-# Targets that name no idle timeout may have one below a second.
-UNNAMED_IDLE_S = 0.5
-# A request must not cross the target's close of an idle connection.
-IDLE_MARGIN_S = 0.4
-KEEP_ALIVE_TIMEOUT = b"timeout="
+# Responses to HEAD state the length of a body that they don't contain.
+HEAD_METHOD_PREFIX = b"HEAD "
+# Targets that send no keep-alive timeout may close idle connections within a second.
+DEFAULT_KEEP_ALIVE_S = 0.5
+# Keeps a request from being sent just as the target closes the idle connection.
+KEEP_ALIVE_MARGIN_S = 0.4
+TIMEOUT_PREFIX = b"timeout="
 
 
 class ExchangeFailure(StrEnum):
-    """Say why an exchange has no whole answer."""
+    """Represent the reasons why an exchange has no complete response."""
 
     CLOSED = "closed"
     RESET = "reset"
@@ -36,12 +35,12 @@
 
 
 class ExchangeError(Exception):
-    """Tell that an exchange ended without a whole answer.
+    """Report an exchange that ended without a complete response.
 
     Parameters
     ----------
     failure : ExchangeFailure
-        How it ended.
+        Reason for the failure.
     """
 
     def __init__(self, failure: ExchangeFailure) -> None:
@@ -50,8 +49,8 @@
 
 
 @dataclass(slots=True)
-class WireAnswer:
-    """Hold one answer as it came; header names are in lower case."""
+class HttpResponse:
+    """Represent a response as received; header names are in lower case."""
 
     status: int = 0
     headers: list[tuple[bytes, bytes]] = field(default_factory=list)
@@ -67,62 +66,62 @@
 
 @dataclass(slots=True)
 class _Exchange:
-    """Hold the request in progress; answers that name another id are not its own.
+    """Represent the request in progress and the call id expected in its response.
 
-    `headers_only` tells that its answer has no body, whatever its headers say.
+    With `headers_only`, the response has no body, whatever its headers state.
     """
 
-    answer: asyncio.Future[WireAnswer]
+    response: asyncio.Future[HttpResponse]
     id_header: bytes
     id_value: bytes | None
     headers_only: bool
 
 
-class TargetConnection(asyncio.Protocol):
-    """Send requests to a target one after the other and read their answers."""
+class HttpConnection(asyncio.Protocol):
+    """Send requests to a server one after the other and read their responses."""
 
     def __init__(self) -> None:
-        self.idle_until_s = float("inf")
+        self.keep_alive_until_s = float("inf")
         self.reusable = True
         self.used = False
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._exchange: _Exchange | None = None
-        self._incoming: WireAnswer | None = None
+        self._response: HttpResponse | None = None
         self._headers_complete = False
-        self._ends_with_connection = False
+        self._body_ends_at_close = False
 
     @property
     def closed(self) -> bool:
-        """Tell whether the connection can't be used any more."""
+        """Return whether the connection is closed or closing."""
         return self._transport is None or self._transport.is_closing()
 
     @property
     def busy(self) -> bool:
-        """Tell whether an exchange is in progress."""
+        """Return whether an exchange is in progress."""
         return self._exchange is not None
 
     def exchange(
         self, request: bytes, id_header: bytes, id_value: bytes | None
-    ) -> asyncio.Future[WireAnswer]:
-        """Send a request; the future ends with its answer or an `ExchangeError`.
+    ) -> asyncio.Future[HttpResponse]:
+        """Send a request and return a future of its response or an `ExchangeError`.
 
-        An answer that carries `id_header` must carry `id_value` there; with None, an
-        answer that carries the header at all is foreign.
+        If a response has the header `id_header`, its value must be `id_value`. With
+        None, a response that has the header at all belongs to another call.
         """
         future = self._loop.create_future()
         if self.closed or self._exchange is not None:
             future.set_exception(ExchangeError(ExchangeFailure.NOT_SENT))
             return future
-        headers_only = request.startswith(BODILESS_METHOD)
+        headers_only = request.startswith(HEAD_METHOD_PREFIX)
         self._exchange = _Exchange(future, id_header, id_value, headers_only)
         self.used = True
         self._transport.write(request)
         return future
 
     def abandon(self) -> None:
-        """Close at once, which tells the target to stop its work."""
+        """Close the connection at once, so that the target stops its work."""
         self.reusable = False
         self._exchange = None
         if self._transport is not None:
@@ -134,16 +133,16 @@
         if self._transport is not None:
             self._transport.close()
 
-    # asyncio's side
+    # Callbacks of asyncio
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Feed the parser."""
+        """Pass the data to the parser."""
         if self._exchange is None:
-            # Bytes that nobody asked for belong to no call.
+            # Data outside an exchange belongs to no call.
             self.abandon()
             return
         try:
@@ -152,8 +151,8 @@
             self._fail(ExchangeFailure.MALFORMED)
 
     def eof_received(self) -> bool:
-        """Take the end of the connection as the end of an answer without length."""
-        if self._headers_complete and self._ends_with_connection:
+        """Complete a response without a length, whose body ends at the close."""
+        if self._headers_complete and self._body_ends_at_close:
             self.reusable = False
             self._finish()
         return False
@@ -164,110 +163,110 @@
         self.reusable = False
         if exc is not None:
             self._fail(ExchangeFailure.RESET)
-        elif self._incoming is not None:
+        elif self._response is not None:
             self._fail(ExchangeFailure.CUT_SHORT)
         else:
             self._fail(ExchangeFailure.CLOSED)
 
-    # The parser's side
+    # Callbacks of the parser
 
     def on_message_begin(self) -> None:
-        """Begin an answer."""
+        """Start a response."""
         if self._exchange is None:
             self.reusable = False
-        self._incoming = WireAnswer()
+        self._response = HttpResponse()
         self._headers_complete = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
-        if self._incoming is not None:
-            self._incoming.headers.append((name.lower(), value.strip()))
+        """Add a header to the response."""
+        if self._response is not None:
+            self._response.headers.append((name.lower(), value.strip()))
 
     def on_headers_complete(self) -> None:
-        """Take the status, and learn how the answer will end."""
-        if self._incoming is None:
+        """Store the status and determine how the end of the response is found."""
+        if self._response is None:
             return
-        answer = self._incoming
-        answer.status = self._parser.get_status_code()
+        response = self._response
+        response.status = self._parser.get_status_code()
         self._headers_complete = True
         has_length = any(
             name in (b"content-length", b"transfer-encoding")
-            for name, _ in answer.headers
+            for name, _ in response.headers
         )
         bodiless = (
-            answer.status in INFORMATIONAL_STATUSES
-            or answer.status in NO_CONTENT_STATUSES
+            response.status in INFORMATIONAL_STATUSES
+            or response.status in NO_CONTENT_STATUSES
         )
-        self._ends_with_connection = not has_length and not bodiless
-        is_last = answer.status not in INFORMATIONAL_STATUSES
+        self._body_ends_at_close = not has_length and not bodiless
+        is_last = response.status not in INFORMATIONAL_STATUSES
         if is_last and self._exchange is not None and self._exchange.headers_only:
-            self._finish_without_body(answer)
+            self._finish_without_body(response)
 
-    def _finish_without_body(self, answer: WireAnswer) -> None:
-        """End an answer at its headers; the parser goes on to expect a body."""
+    def _finish_without_body(self, response: HttpResponse) -> None:
+        """End a response after its headers; the parser still expects a body."""
         self.reusable = False
-        if self._is_foreign(answer):
+        if self._is_for_other_call(response):
             self._fail(ExchangeFailure.MALFORMED)
         else:
             self._finish()
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
-        if self._incoming is None:
+        """Append a part of the body to the response."""
+        if self._response is None:
             return
-        self._incoming.body += body
-        if len(self._incoming.body) > ANSWER_LIMIT_BYTES:
+        self._response.body += body
+        if len(self._response.body) > RESPONSE_LIMIT_BYTES:
             self._fail(ExchangeFailure.TOO_LARGE)
 
     def on_message_complete(self) -> None:
-        """End an answer."""
-        if self._exchange is None or self._incoming is None:
-            # A second answer came along with the first.
+        """Complete the response, or skip an informational or unexpected one."""
+        if self._exchange is None or self._response is None:
+            # A second response arrived together with the first.
             self.reusable = False
             return
-        if self._incoming.status in INFORMATIONAL_STATUSES:
-            self._incoming = None
+        if self._response.status in INFORMATIONAL_STATUSES:
+            self._response = None
             return
-        self._learn_reuse(self._incoming)
-        if self._is_foreign(self._incoming):
+        self._update_keep_alive(self._response)
+        if self._is_for_other_call(self._response):
             self.reusable = False
-            self._incoming = None
+            self._response = None
             return
         self._finish()
 
-    def _learn_reuse(self, answer: WireAnswer) -> None:
+    def _update_keep_alive(self, response: HttpResponse) -> None:
         if not self._parser.should_keep_alive():
             self.reusable = False
-        idle_s = UNNAMED_IDLE_S
-        named = answer.header(b"keep-alive") or b""
-        start = named.find(KEEP_ALIVE_TIMEOUT)
+        idle_s = DEFAULT_KEEP_ALIVE_S
+        keep_alive = response.header(b"keep-alive") or b""
+        start = keep_alive.find(TIMEOUT_PREFIX)
         if start >= 0:
-            digits = named[start + len(KEEP_ALIVE_TIMEOUT) :].split(b",")[0].strip()
+            digits = keep_alive[start + len(TIMEOUT_PREFIX) :].split(b",")[0].strip()
             if digits.isdigit() and int(digits) > 0:
-                idle_s = max(int(digits) - IDLE_MARGIN_S, UNNAMED_IDLE_S)
-        self.idle_until_s = self._loop.time() + idle_s
+                idle_s = max(int(digits) - KEEP_ALIVE_MARGIN_S, DEFAULT_KEEP_ALIVE_S)
+        self.keep_alive_until_s = self._loop.time() + idle_s
 
-    def _is_foreign(self, answer: WireAnswer) -> bool:
+    def _is_for_other_call(self, response: HttpResponse) -> bool:
         exchange = self._exchange
-        named = answer.header(exchange.id_header)
-        return named is not None and named != exchange.id_value
+        received = response.header(exchange.id_header)
+        return received is not None and received != exchange.id_value
 
     def _finish(self) -> None:
-        exchange, answer = self._exchange, self._incoming
+        exchange, response = self._exchange, self._response
         self._exchange = None
-        self._incoming = None
+        self._response = None
         if self._transport is not None and self._transport.get_write_buffer_size():
-            # The target answered before it had the whole request.
+            # The target responded before it had received the whole request.
             self.reusable = False
-        if exchange is not None and not exchange.answer.done():
-            exchange.answer.set_result(answer)
+        if exchange is not None and not exchange.response.done():
+            exchange.response.set_result(response)
 
     def _fail(self, failure: ExchangeFailure) -> None:
         exchange = self._exchange
         self._exchange = None
-        self._incoming = None
+        self._response = None
         self.reusable = False
         if self._transport is not None:
             self._transport.abort()
-        if exchange is not None and not exchange.answer.done():
-            exchange.answer.set_exception(ExchangeError(failure))
+        if exchange is not None and not exchange.response.done():
+            exchange.response.set_exception(ExchangeError(failure))
--- a/packages/baobabring/baobabring/connections/_pool.py
+++ b/packages/baobabring/baobabring/connections/_pool.py
@@ -1,74 +1,74 @@
-"""Open connections to targets, kept for the next exchange."""
+"""Pool of open connections, kept for reuse."""
 
 import asyncio
 
-from baobabring.connections._connection import TargetConnection
+from baobabring.connections._connection import HttpConnection
 
 CONNECT_TIMEOUT_S = 0.3
 
 
 class ConnectError(Exception):
-    """Tell that no connection could be opened, so that nothing was sent."""
+    """Report that no connection could be opened, so that nothing was sent."""
 
 
 class ConnectionPool:
-    """Lend connections to addresses and take them back.
+    """Reuse connections to each address.
 
-    The connection that was used last is lent first, so that spare ones grow old
-    and are closed.
+    The connection that was used last is reused first, so that the surplus ones
+    expire and are closed.
     """
 
     def __init__(self) -> None:
-        self.opened = 0
-        self._idle: dict[str, list[TargetConnection]] = {}
+        self.opened_count = 0
+        self._idle: dict[str, list[HttpConnection]] = {}
         self._loop = asyncio.get_running_loop()
 
-    def lend_idle(self, address: str) -> TargetConnection | None:
-        """Return an open connection, None if there is none."""
+    def acquire_idle(self, address: str) -> HttpConnection | None:
+        """Return an idle connection that can be reused, None if there is none."""
         idle = self._idle.get(address)
         now_s = self._loop.time()
         while idle:
             connection = idle.pop()
             if connection.reusable and not connection.closed:
-                if now_s < connection.idle_until_s:
+                if now_s < connection.keep_alive_until_s:
                     return connection
                 connection.close()
         return None
 
     async def open(
         self, address: str, timeout_s: float = CONNECT_TIMEOUT_S
-    ) -> TargetConnection:
-        """Open a connection; raises `ConnectError`."""
+    ) -> HttpConnection:
+        """Return a new connection; raises `ConnectError`."""
         host, _, port = address.rpartition(":")
-        self.opened += 1
+        self.opened_count += 1
         try:
             async with asyncio.timeout(timeout_s):
                 _, connection = await self._loop.create_connection(
-                    TargetConnection, host, int(port)
+                    HttpConnection, host, int(port)
                 )
         except (OSError, TimeoutError, ValueError) as error:
             raise ConnectError(f"{address}: {error!r}") from error
         return connection
 
-    async def lend(self, address: str) -> TargetConnection:
-        """Return an open connection or a new one; raises `ConnectError`."""
-        return self.lend_idle(address) or await self.open(address)
+    async def acquire(self, address: str) -> HttpConnection:
+        """Return an idle connection or a new one; raises `ConnectError`."""
+        return self.acquire_idle(address) or await self.open(address)
 
-    def give_back(self, address: str, connection: TargetConnection) -> None:
-        """Keep a connection for the next exchange, if it can have one."""
+    def return_connection(self, address: str, connection: HttpConnection) -> None:
+        """Keep a connection for the next exchange, or close it if not reusable."""
         if connection.reusable and not connection.closed:
             self._idle.setdefault(address, []).append(connection)
         else:
             connection.close()
 
-    def close_idle(self) -> None:
-        """Close the connections that have been idle for too long."""
+    def close_expired(self) -> None:
+        """Close the connections whose keep-alive time has passed."""
         now_s = self._loop.time()
         for address in list(self._idle):
             kept = []
             for connection in self._idle[address]:
                 usable = connection.reusable and not connection.closed
-                if usable and now_s < connection.idle_until_s:
+                if usable and now_s < connection.keep_alive_until_s:
                     kept.append(connection)
                 else:
                     connection.close()
@@ -77,7 +77,7 @@
             else:
                 del self._idle[address]
 
-    def drop(self, address: str) -> None:
+    def close_idle_to(self, address: str) -> None:
         """Close all idle connections to an address."""
         for connection in self._idle.pop(address, ()):
             connection.close()
@@ -85,4 +85,4 @@
     def close(self) -> None:
         """Close all idle connections."""
         for address in list(self._idle):
-            self.drop(address)
+            self.close_idle_to(address)
--- a/packages/baobabring/baobabring/platform/store.py
+++ b/packages/baobabring/baobabring/platform/store.py
@@ -11,8 +11,8 @@
     ConnectError,
     ConnectionPool,
     ExchangeError,
-    TargetConnection,
-    WireAnswer,
+    HttpConnection,
+    HttpResponse,
 )
 from baobabring.platform.records import KeyedRecord
 
@@ -139,16 +139,16 @@
 
     async def _call(
         self, method: str, path: str, timeout_s: float, body: bytes = b""
-    ) -> WireAnswer | StoreFailed:
+    ) -> HttpResponse | StoreFailed:
         self.calls += 1
         head = f"{method} {path} HTTP/1.1\r\nhost: {self.address}\r\n"
         if method == "POST":
             head += f"content-length: {len(body)}\r\n"
         request = head.encode() + b"\r\n" + body
-        connection: TargetConnection | None = None
+        connection: HttpConnection | None = None
         try:
             async with asyncio.timeout(timeout_s):
-                connection = await self.pool.lend(self.address)
+                connection = await self.pool.acquire(self.address)
                 answer = await connection.exchange(request, NO_ID_HEADER, None)
         except (TimeoutError, ConnectError, ExchangeError) as error:
             return StoreFailed(f"{method} {path}: {error!r}")
@@ -156,11 +156,11 @@
             # A connection on which an answer was lost gives nothing more.
             if connection is not None and connection.busy:
                 connection.abandon()
-        self.pool.give_back(self.address, connection)
+        self.pool.return_connection(self.address, connection)
         return answer
 
 
-def _refused(answer: WireAnswer) -> StoreFailed:
+def _refused(answer: HttpResponse) -> StoreFailed:
     return StoreFailed(f"status {answer.status}")
 
 
--- a/packages/baobabring/baobabring/platform/tests/test_wire.py
+++ b/packages/baobabring/baobabring/platform/tests/test_wire.py
@@ -2,19 +2,19 @@
 
 import pytest
 
-from baobabring.connections import WireAnswer
+from baobabring.connections import HttpResponse
 from baobabring.entry import LoadReport
 from baobabring.entry.tests.builders import build_call, build_target
 from baobabring.platform import wire
 
 
-def answer(status=200, body=b"", **headers) -> WireAnswer:
+def answer(status=200, body=b"", **headers) -> HttpResponse:
     """Return an answer; header names are given with underscores."""
     pairs = [
         (name.replace("_", "-").encode(), value.encode())
         for name, value in headers.items()
     ]
-    return WireAnswer(status, pairs, bytearray(body))
+    return HttpResponse(status, pairs, bytearray(body))
 
 
 def build_request(**changes):
--- a/packages/baobabring/baobabring/platform/wire.py
+++ b/packages/baobabring/baobabring/platform/wire.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from baobabring.connections import WireAnswer
+from baobabring.connections import HttpResponse
 from baobabring.entry import EntryCall, EntryTarget, HealthReport, LoadReport
 
 # Names a call; each try of a caller has an id of its own.
@@ -93,7 +93,7 @@
 
 
 def read_health_answer(
-    answer: WireAnswer, target_id: str, probed_at_s: float
+    answer: HttpResponse, target_id: str, probed_at_s: float
 ) -> HealthReport | None:
     """Return what a target says of its health, None if another one answered."""
     named = answer.header(TARGET_ID_HEADER)
@@ -109,7 +109,7 @@
     )
 
 
-def read_load(answer: WireAnswer) -> LoadReport | None:
+def read_load(answer: HttpResponse) -> LoadReport | None:
     """Return the load that an answer tells: running, waiting, slots, percent."""
     value = answer.header(LOAD_HEADER)
     if value is None:
@@ -125,19 +125,19 @@
     return LoadReport(running, waiting, slots, max(percent, 1.0) / USUAL_SPEED_PERCENT)
 
 
-def says_not_run(answer: WireAnswer) -> bool:
+def says_not_run(answer: HttpResponse) -> bool:
     """Tell whether a target states that it did not run the call."""
     if answer.header(NOT_RUN_HEADER) is not None:
         return True
     return answer.status == STATUS_MISDIRECTED and answer.header(PROOF_HEADER) is None
 
 
-def from_target_program(answer: WireAnswer) -> bool:
+def from_target_program(answer: HttpResponse) -> bool:
     """Tell whether the target's program made the answer."""
     return answer.header(PROOF_HEADER) is not None
 
 
-def headers_to_caller(answer: WireAnswer) -> Headers:
+def headers_to_caller(answer: HttpResponse) -> Headers:
     """Return the headers of an answer that its caller gets."""
     hops = _connection_tokens(answer.headers)
     return [
--- a/packages/baobabring/baobabring/program/entry/__init__.py
+++ b/packages/baobabring/baobabring/program/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The program of an entry instance on the users' platform."""
+"""Program of an entry instance on the users' platform."""
--- a/packages/baobabring/baobabring/program/entry/_announcements.py
+++ b/packages/baobabring/baobabring/program/entry/_announcements.py
@@ -1,4 +1,4 @@
-"""Instances' announcements in the store, by which they find each other."""
+"""Announcements of instances in the store, by which they discover each other."""
 
 from collections.abc import Collection, Mapping
 
@@ -11,15 +11,15 @@
 
 LOG = logbook.Logger("peers")
 
-# Longer than regions lose each other for; whoever was away longer announces itself
-# again.
+# Longer than network partitions between regions last. An instance that was silent
+# for longer announces itself again.
 STALE_AFTER_S = 2 * 3_600.0
-# Removals are spread, since each is a call to the store.
+# Each removal is a call to the store, so they are spread over several reads.
 REMOVALS_PER_READ = 8
 
 
 class Announcements:
-    """Read the announcements, make this instance's own, and remove stale ones."""
+    """Read announcements, write this instance's own and remove stale ones."""
 
     def __init__(
         self, instance_id: str, address: str, store: StoreClient, clock: Clock
@@ -28,8 +28,8 @@
         self.address = address
         self.store = store
         self.clock = clock
-        self.made_anew = False
-        self._unheard_since_s: dict[str, float] = {}
+        self.newly_announced = False
+        self._silent_since_s: dict[str, float] = {}
 
     async def read(self) -> dict[str, str] | StoreFailed:
         """Return the addresses of all announced instances, by id."""
@@ -43,26 +43,26 @@
             if record.value
         }
 
-    async def make(self, announced: Mapping[str, str]) -> StoreFailed | None:
-        """Announce this instance unless `announced` holds it."""
+    async def announce(self, announced: Mapping[str, str]) -> StoreFailed | None:
+        """Announce this instance unless `announced` has its current address."""
         if announced.get(self.instance_id) == self.address:
             return None
-        self.made_anew = True
+        self.newly_announced = True
         return await self._put(self.instance_id, self.address.encode())
 
     async def remove_stale(
         self, announced: Mapping[str, str], live: Collection[str]
     ) -> None:
-        """Remove instances that are announced and were not heard for long."""
+        """Remove announced instances that were not live for `STALE_AFTER_S`."""
         now_s = self.clock.now_s()
-        self._unheard_since_s = {
-            instance_id: self._unheard_since_s.get(instance_id, now_s)
+        self._silent_since_s = {
+            instance_id: self._silent_since_s.get(instance_id, now_s)
             for instance_id in announced
             if instance_id not in live
         }
         stale = [
             instance_id
-            for instance_id, since_s in self._unheard_since_s.items()
+            for instance_id, since_s in self._silent_since_s.items()
             if now_s - since_s >= STALE_AFTER_S
         ]
         for instance_id in stale[:REMOVALS_PER_READ]:
--- a/packages/baobabring/baobabring/program/entry/_app.py
+++ b/packages/baobabring/baobabring/program/entry/_app.py
@@ -22,20 +22,20 @@
     Rejected,
     Undetermined,
 )
-from baobabring.program.entry._call_task import CallerRequest, CallTask
+from baobabring.program.entry._call_runner import CallerRequest, CallRunner
 
 REJECTION_STATUSES = {
     CallProblem.NO_ROUTE: HTTPStatus.NOT_FOUND,
     CallProblem.BAD_REQUEST: HTTPStatus.BAD_REQUEST,
     CallProblem.TOO_LARGE: HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
 }
-LEAST_RETRY_AFTER_S = 0.01
+MIN_RETRY_AFTER_S = 0.01
 
 
 class EntrySink:
-    """Serve every request of callers."""
+    """Serve the requests of callers on all paths."""
 
-    def __init__(self, calls: CallTask) -> None:
+    def __init__(self, calls: CallRunner) -> None:
         self.calls = calls
 
     async def __call__(
@@ -53,7 +53,7 @@
             return
         outcome = await self._serve(request, body, arrived_at_s)
         write_outcome(response, outcome, self.calls.clock.now_s())
-        if self.calls.leaving:
+        if self.calls.shutting_down:
             response.set_header("Connection", "close")
 
     async def _serve(
@@ -71,9 +71,9 @@
         if call.done():
             return call.result()
         connection = request.scope[CallerConnectionMiddleware.SCOPE_KEY]
-        leaving = asyncio.ensure_future(connection.wait_left())
-        leaving.add_done_callback(
-            lambda task: task.cancelled() or self.calls.caller_left(call)
+        disconnect = asyncio.ensure_future(connection.wait_left())
+        disconnect.add_done_callback(
+            lambda task: task.cancelled() or self.calls.on_caller_disconnect(call)
         )
         try:
             return await call
@@ -82,13 +82,13 @@
                 raise
             return Undetermined(CallProblem.CALLER_LEFT)
         finally:
-            leaving.cancel()
+            disconnect.cancel()
 
 
 def write_outcome(
     response: falcon.asgi.Response, outcome: EntryOutcome, now_s: float
 ) -> None:
-    """Write the response that an outcome makes."""
+    """Set status, headers and body of a response by the outcome of its call."""
     if isinstance(outcome, Delivered):
         response.status = outcome.answer.status
         for name, value in outcome.answer.headers:
@@ -97,7 +97,7 @@
         return
     if isinstance(outcome, NotRun):
         response.status = HTTPStatus.SERVICE_UNAVAILABLE
-        after_s = max(outcome.retry_at_s - now_s, LEAST_RETRY_AFTER_S)
+        after_s = max(outcome.retry_at_s - now_s, MIN_RETRY_AFTER_S)
         response.set_header("Retry-After", f"{after_s:.3f}")
     elif isinstance(outcome, Rejected):
         response.status = REJECTION_STATUSES[outcome.problem]
@@ -110,42 +110,42 @@
 
 
 class ReadyResource:
-    """Tell the platform's balancer whether to send new connections."""
+    """Serve the readiness check of the platform's load balancer."""
 
-    def __init__(self, calls: CallTask) -> None:
+    def __init__(self, calls: CallRunner) -> None:
         self.calls = calls
 
     async def on_get(self, request, response) -> None:
-        """Answer with 200 or 503."""
+        """Respond with 200 if the instance is ready, else with 503."""
         ready = self.calls.ready
         response.status = HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE
 
 
 class MetricsResource:
-    """Show the metrics."""
+    """Serve the metrics."""
 
     async def on_get(self, request, response) -> None:
-        """Answer in the text format of Prometheus."""
+        """Respond in the text format of Prometheus."""
         response.content_type = prometheus_client.CONTENT_TYPE_LATEST
         response.data = prometheus_client.generate_latest()
 
 
-def create_caller_app(calls: CallTask):
+def create_caller_app(calls: CallRunner):
     """Return the application for callers."""
     app = falcon.asgi.App()
     app.add_sink(EntrySink(calls), "/")
     return CallerConnectionMiddleware(app)
 
 
-def create_ready_app(calls: CallTask):
-    """Return the application for the platform's balancer."""
+def create_ready_app(calls: CallRunner):
+    """Return the application for the platform's load balancer."""
     app = falcon.asgi.App()
     app.add_route("/ready", ReadyResource(calls))
     return app
 
 
 def create_metrics_app():
-    """Return the application that shows the metrics."""
+    """Return the application that serves the metrics."""
     app = falcon.asgi.App()
     app.add_route("/metrics", MetricsResource())
     return app
--- a/packages/baobabring/baobabring/program/entry/_call_task.py
+++ b/packages/baobabring/baobabring/program/entry/_call_runner.py
@@ -1,4 +1,4 @@
-"""Life of each call, from its arrival to its outcome and its log line."""
+"""Processing of each call, from its arrival to its outcome and its log line."""
 
 import asyncio
 from dataclasses import dataclass
@@ -29,14 +29,14 @@
 LOG = logbook.Logger("call")
 
 MS_PER_S = 1_000
-# An answer must be with the caller before the caller or the operator gives up.
-ANSWER_MARGIN_S = 0.01
+# The response must reach the caller before its deadline or the route's timeout.
+RESPONSE_MARGIN_S = 0.01
 NO_CONFIGURATION_RETRY_S = 0.3
 
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """Hold one caller's request as it came; header names are in lower case."""
+    """Represent a caller's request as received; header names are in lower case."""
 
     method: str
     path: str
@@ -46,47 +46,47 @@
     arrived_at_s: float
 
 
-class CallTask:
-    """Turn requests into calls and see them through."""
+class CallRunner:
+    """Route requests, forward them as calls and record their outcomes."""
 
     def __init__(
-        self, shared: SharedView, forwarder: Forwarder, clock: Clock, rng: Random
+        self, shared_view: SharedView, forwarder: Forwarder, clock: Clock, rng: Random
     ) -> None:
-        self.shared = shared
+        self.shared_view = shared_view
         self.forwarder = forwarder
         self.clock = clock
         self.rng = rng
         self.ready = False
-        self.leaving = False
+        self.shutting_down = False
         self.in_progress = 0
         self._configuration = EntryConfiguration()
         self._table = RouteTable(self._configuration)
-        self._turns: dict[str, WeightedRoundRobin] = {}
+        self._round_robins: dict[str, WeightedRoundRobin] = {}
         self._progress: dict[asyncio.Task, CallProgress] = {}
 
     @property
     def body_limit_bytes(self) -> int:
-        """Return how long a request's body may be."""
+        """Return the size limit of a request's body."""
         return self._configuration.limits.body_limit_bytes
 
-    def configure(self, configuration: EntryConfiguration) -> None:
-        """Route by a new configuration from now on."""
+    def set_configuration(self, configuration: EntryConfiguration) -> None:
+        """Route new calls by a configuration."""
         self._configuration = configuration
         self._table = RouteTable(configuration)
-        self._turns = {
-            route.route_id: self._carry_over_turns(route)
+        self._round_robins = {
+            route.route_id: self._reuse_round_robin(route)
             for route in configuration.routes
         }
 
     def start(self, request: CallerRequest) -> asyncio.Future[EntryOutcome]:
-        """Begin a call; the future ends with its outcome."""
+        """Start a call and return a future of its outcome."""
         call = self._build_call(request)
         if not isinstance(call, EntryCall):
-            return self._ended(request, call)
+            return self._end_unforwarded(request, call)
         return asyncio.ensure_future(self._run(call))
 
-    def caller_left(self, task: asyncio.Task) -> None:
-        """Stop a call, unless it may run once only and has been sent."""
+    def on_caller_disconnect(self, task: asyncio.Task) -> None:
+        """Cancel a call, unless it isn't idempotent and has been sent."""
         progress = self._progress.get(task)
         if progress is None:
             return
@@ -103,13 +103,13 @@
         try:
             outcome = await self.forwarder.forward(progress)
         except Exception:
-            # Whatever broke, the call may have been sent.
+            # The call may have been sent before the error.
             LOG.exception("call failed", call=call.call_id)
             outcome = self._internal_outcome(progress)
         finally:
             self.in_progress -= 1
             del self._progress[task]
-            self._tell(progress, outcome)
+            self._record_outcome(progress, outcome)
         return outcome
 
     def _internal_outcome(self, progress: CallProgress) -> EntryOutcome:
@@ -119,7 +119,7 @@
         return NotRun(CallProblem.INTERNAL, retry_at_s)
 
     def _build_call(self, request: CallerRequest) -> EntryCall | EntryOutcome:
-        if not self.shared.is_complete:
+        if not self.shared_view.is_complete:
             retry_at_s = request.arrived_at_s + NO_CONFIGURATION_RETRY_S
             return NotRun(CallProblem.NO_CONFIGURATION, retry_at_s)
         path = request.path.partition("?")[0]
@@ -135,23 +135,23 @@
         return EntryCall(
             call_id=call_id.decode("latin-1"),
             route=route,
-            service_id=self._turns[route.route_id].next_service(),
+            service_id=self._round_robins[route.route_id].next_service(),
             method=request.method,
             path=request.path,
             headers=tuple(request.headers),
             body=request.body,
             arrived_at_s=arrived_at_s,
-            deadline_s=arrived_at_s + wait_ms / MS_PER_S - ANSWER_MARGIN_S,
+            deadline_s=arrived_at_s + wait_ms / MS_PER_S - RESPONSE_MARGIN_S,
             goal_at_s=arrived_at_s + route.latency_goal_ms / MS_PER_S,
         )
 
-    def _carry_over_turns(self, route: EntryRoute) -> WeightedRoundRobin:
-        known = self._turns.get(route.route_id)
+    def _reuse_round_robin(self, route: EntryRoute) -> WeightedRoundRobin:
+        known = self._round_robins.get(route.route_id)
         if known is not None and known.services == route.services:
             return known
         return WeightedRoundRobin(route, self.rng.random())
 
-    def _ended(
+    def _end_unforwarded(
         self, request: CallerRequest, outcome: EntryOutcome
     ) -> asyncio.Future[EntryOutcome]:
         future = asyncio.get_running_loop().create_future()
@@ -168,7 +168,7 @@
         )
         return future
 
-    def _tell(self, progress: CallProgress, outcome: EntryOutcome) -> None:
+    def _record_outcome(self, progress: CallProgress, outcome: EntryOutcome) -> None:
         call = progress.call
         now_s = self.clock.now_s()
         name = _outcome_name(outcome)
@@ -196,7 +196,7 @@
         )
 
     def _view_age_ms(self, now_s: float) -> int | None:
-        confirmed_at_s = self.shared.confirmed_at_s
+        confirmed_at_s = self.shared_view.confirmed_at_s
         if confirmed_at_s is None:
             return None
         return round((now_s - confirmed_at_s) * MS_PER_S)
--- a/packages/baobabring/baobabring/program/entry/_caller_protocol.py
+++ b/packages/baobabring/baobabring/program/entry/_caller_protocol.py
@@ -1,4 +1,4 @@
-"""Protocol of callers' connections, with bounds on what a caller may take."""
+"""HTTP protocol of callers' connections, with limits on size and time of headers."""
 
 import asyncio
 from dataclasses import dataclass
@@ -6,27 +6,27 @@
 
 from uvicorn.protocols.http.httptools_impl import HttpToolsProtocol
 
-# Separators around a header's name and value.
-HEADER_FRAME_BYTES = 4
+# The colon, space and line end of a header line.
+HEADER_SEPARATOR_BYTES = 4
 
 
 @dataclass(slots=True)
 class HeaderLimits:
-    """Bound the headers of a request; may change while connections are open."""
+    """Represent limits of a request's headers; open connections follow changes."""
 
     limit_bytes: int = 16_384
     timeout_s: float = 3.0
 
 
 class HeaderLimitError(Exception):
-    """Tell the parser that the headers exceed their limit."""
+    """Stop the parser because the headers exceed their size limit."""
 
 
-class LimitedProtocol(HttpToolsProtocol):
-    """Refuse headers that are too large or take too long, and end silent connections.
+class CallerProtocol(HttpToolsProtocol):
+    """Refuse too large or too slow headers, and close connections without requests.
 
-    Nothing has run for such a request. While an answer is under way on the
-    connection, nothing is written into it: the connection ends after that answer.
+    A refused request is not forwarded. If a response is in progress on the
+    connection, no refusal is written: the connection closes after that response.
     """
 
     def __init__(self, *args, header_limits: HeaderLimits, **kwargs) -> None:
@@ -37,53 +37,53 @@
         self._too_large = False
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Let a connection on which nothing comes be idle for a limited time."""
+        """Start the idle timeout, for a connection on which no request arrives."""
         super().connection_made(transport)
         self.timeout_keep_alive_task = self.loop.call_later(
             self.timeout_keep_alive, self.timeout_keep_alive_handler
         )
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stop waiting for headers."""
+        """Stop the header timeout."""
         self._stop_timer()
         super().connection_lost(exc)
 
     def on_message_begin(self) -> None:
-        """Begin to count a request's headers."""
+        """Start the header timeout and the count of header bytes of a request."""
         super().on_message_begin()
         self._header_bytes = 0
         self._stop_timer()
         self._header_timer = self.loop.call_later(
-            self._limits.timeout_s, self._headers_late
+            self._limits.timeout_s, self._on_header_timeout
         )
 
     def on_url(self, url: bytes) -> None:
-        """Count the path."""
-        self._count(len(url))
+        """Add the URL to the count of header bytes."""
+        self._count_header_bytes(len(url))
         super().on_url(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Count a header."""
-        self._count(len(name) + len(value) + HEADER_FRAME_BYTES)
+        """Add a header to the count of header bytes."""
+        self._count_header_bytes(len(name) + len(value) + HEADER_SEPARATOR_BYTES)
         super().on_header(name, value)
 
     def on_headers_complete(self) -> None:
-        """Stop the time for headers."""
+        """Stop the header timeout when all headers are there."""
         self._stop_timer()
         super().on_headers_complete()
 
     def send_400_response(self, msg: str) -> None:
-        """Refuse a request that can't be read."""
+        """Refuse a request that can't be parsed or whose headers are too large."""
         too_large = HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
         self._refuse(too_large if self._too_large else HTTPStatus.BAD_REQUEST)
 
-    def _count(self, size_bytes: int) -> None:
+    def _count_header_bytes(self, size_bytes: int) -> None:
         self._header_bytes += size_bytes
         if self._header_bytes > self._limits.limit_bytes:
             self._too_large = True
             raise HeaderLimitError
 
-    def _headers_late(self) -> None:
+    def _on_header_timeout(self) -> None:
         self._header_timer = None
         if not self.transport.is_closing():
             self._refuse(HTTPStatus.REQUEST_TIMEOUT)
--- a/packages/baobabring/baobabring/program/entry/_forwarder.py
+++ b/packages/baobabring/baobabring/program/entry/_forwarder.py
@@ -1,4 +1,4 @@
-"""Carrying of calls to targets."""
+"""Forwarding of calls to targets, with retries and hedging."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
     ConnectionPool,
     ExchangeError,
     ExchangeFailure,
-    WireAnswer,
+    HttpResponse,
 )
 from baobabring.entry import (
     Admission,
@@ -35,29 +35,29 @@
     request_to_target,
     says_not_run,
 )
-from baobabring.program.entry._chooser import LEAST_TIME_LEFT_S, Chooser
-from baobabring.program.entry._failure_notices import FailureNotices
+from baobabring.program.entry._failure_counts import FailureCounts
 from baobabring.program.entry._metrics import ENTRY_ATTEMPTS
 from baobabring.program.entry._progress import CallProgress
-from baobabring.program.entry._waiting import Assigned
+from baobabring.program.entry._target_chooser import MIN_TIME_LEFT_S, TargetChooser
+from baobabring.program.entry._wait_queue import Assignment
 from baobabring.retries import RetryBudget
 from baobabring.utils import Clock
 
 MS_PER_S = 1_000
-HEDGE_TRIES = 3
+MAX_HEDGE_CHECKS = 3
 SUCCESS_STATUSES = range(200, 300)
 FAILURE_STATUSES = range(500, 600)
 
 
 class Forwarder:
-    """Carry each call to its one outcome."""
+    """Forward calls to targets until each has its one outcome."""
 
     def __init__(
         self,
         ranker: TargetRanker,
         admission: Admission,
         retry_budget: RetryBudget,
-        notices: FailureNotices,
+        failure_counts: FailureCounts,
         budget: ProbeRateBudget,
         pool: ConnectionPool,
         clock: Clock,
@@ -65,71 +65,72 @@
         self.ranker = ranker
         self.admission = admission
         self.retry_budget = retry_budget
-        self.notices = notices
+        self.failure_counts = failure_counts
         self.pool = pool
         self.clock = clock
-        self.chooser = Chooser(ranker, admission, budget, pool, clock)
+        self.chooser = TargetChooser(ranker, admission, budget, pool, clock)
 
     async def forward(self, progress: CallProgress) -> EntryOutcome:
-        """Try targets until there is an outcome."""
+        """Attempt a call at targets until it has an outcome, and return that."""
         call = progress.call
         while True:
-            chosen = await self.chooser.choose(progress)
-            if isinstance(chosen, RefuseCall):
-                return self._give_up(progress, chosen)
+            assignment = await self.chooser.choose(progress)
+            if isinstance(assignment, RefuseCall):
+                return self._refused_outcome(progress, assignment)
             if not progress.tried:
                 self.retry_budget.record_first_attempt(
                     call.service_id, self.clock.now_s()
                 )
-            end = await self._attempt_with_hedge(progress, chosen)
-            outcome = self._judge(progress, end)
+            end = await self._attempt_with_hedge(progress, assignment)
+            outcome = self._outcome_after(progress, end)
             if outcome is not None:
                 return outcome
 
     # Attempts
 
     async def _attempt_with_hedge(
-        self, progress: CallProgress, chosen: Assigned
+        self, progress: CallProgress, assignment: Assignment
     ) -> AttemptEnd:
-        """Attempt a call; try a second target as well if the first one is late."""
+        """Attempt a call, and also at a second target if the first one is late."""
         call = progress.call
         tries = len(progress.tried) + 1
         now_s = self.clock.now_s()
-        at_s = hedge_at_s(call, now_s, chosen.offer.finish_ms, tries)
+        at_s = hedge_at_s(call, now_s, assignment.offer.finish_ms, tries)
         if at_s is None:
-            return await self._attempt(progress, chosen)
-        attempts = [asyncio.ensure_future(self._attempt(progress, chosen))]
+            return await self._attempt(progress, assignment)
+        attempts = [asyncio.ensure_future(self._attempt(progress, assignment))]
         try:
             second = await self._hedge_when_late(progress, attempts[0], at_s - now_s)
             if second is not None:
                 attempt = asyncio.ensure_future(self._attempt(progress, second))
                 attempts.append(attempt)
-            return await self._first_good(attempts)
+            return await self._first_success(attempts)
         finally:
             for attempt in attempts:
                 attempt.cancel()
 
     async def _hedge_when_late(
         self, progress: CallProgress, first: asyncio.Task, interval_s: float
-    ) -> Assigned | None:
-        """Return a second target once the first attempt is late, None if it ends.
+    ) -> Assignment | None:
+        """Return a second assignment once the first attempt is late, else None.
 
-        When there is no slot or no repeat to spare, there may be later.
+        If no slot is free or the retry budget is empty, the check is repeated, since
+        that may change while the first attempt runs.
         """
-        for _ in range(HEDGE_TRIES):
+        for _ in range(MAX_HEDGE_CHECKS):
             await asyncio.wait([first], timeout=interval_s)
             if first.done():
                 return None
             second = await self.chooser.choose_hedge(progress)
             if second is None:
                 continue
-            if self._may_try_again(progress):
+            if self._try_spend_retry(progress):
                 return second
-            self.chooser.prober.release(second.answer)
+            self.chooser.prober.release(second.probe)
         return None
 
-    async def _first_good(self, attempts: list[asyncio.Task]) -> AttemptEnd:
-        """Return the first answer that is no failure, else how the last one ended."""
+    async def _first_success(self, attempts: list[asyncio.Task]) -> AttemptEnd:
+        """Return the first end that is no failure, else how the last attempt ended."""
         pending = set(attempts)
         while True:
             done, pending = await asyncio.wait(
@@ -142,9 +143,11 @@
             if not pending:
                 return ends[0]
 
-    async def _attempt(self, progress: CallProgress, chosen: Assigned) -> AttemptEnd:
-        call, target = progress.call, chosen.record.target
-        connection = chosen.answer.connection
+    async def _attempt(
+        self, progress: CallProgress, assignment: Assignment
+    ) -> AttemptEnd:
+        call, target = progress.call, assignment.record.target
+        connection = assignment.probe.connection
         now_s = self.clock.now_s()
         time_left_ms = (call.deadline_s - now_s) * MS_PER_S
         request = request_to_target(call, target, time_left_ms)
@@ -153,35 +156,35 @@
         self.ranker.record_call_sent(target.target_id, now_s)
         end: AttemptEnd = AttemptLost(CallProblem.CALLER_LEFT)
         try:
-            end = await self._exchange(progress, chosen, request)
+            end = await self._exchange(progress, assignment, request)
         finally:
-            chosen.record.record_call_ended()
+            assignment.record.record_call_ended()
             if connection.busy:
                 connection.abandon()
             else:
-                self.pool.give_back(target.address, connection)
+                self.pool.return_connection(target.address, connection)
         ENTRY_ATTEMPTS.labels(call.service_id, type(end).__name__).inc()
-        self._learn(progress, chosen.record, end)
+        self._record_end(progress, assignment.record, end)
         return end
 
-    def _learn(
+    def _record_end(
         self, progress: CallProgress, record: TargetRecord, end: AttemptEnd
     ) -> None:
         if isinstance(end, AttemptNotRun):
             return
         progress.may_have_run = True
         if isinstance(end, AttemptLost) or _is_failure(end):
-            self.notices.add(record.target.target_id)
+            self.failure_counts.count_failure(record.target.target_id)
 
     async def _exchange(
-        self, progress: CallProgress, chosen: Assigned, request: bytes
+        self, progress: CallProgress, assignment: Assignment, request: bytes
     ) -> AttemptEnd:
         call = progress.call
         sent_at_s = self.clock.now_s()
         call_id = call.call_id.encode("latin-1")
         try:
             async with asyncio.timeout(call.deadline_s - sent_at_s):
-                answer = await chosen.answer.connection.exchange(
+                response = await assignment.probe.connection.exchange(
                     request, CALL_ID_HEADER, call_id
                 )
         except TimeoutError:
@@ -191,45 +194,51 @@
                 return AttemptNotRun()
             return AttemptLost(CallProblem.CONNECTION_LOST)
         now_s = self.clock.now_s()
-        load = read_load(answer)
+        load = read_load(response)
         if load is not None:
-            chosen.record.record_load(load, now_s)
-        return self._read_answer(call, chosen, answer, now_s - sent_at_s)
+            assignment.record.record_load(load, now_s)
+        return self._read_response(call, assignment, response, now_s - sent_at_s)
 
-    def _read_answer(
-        self, call: EntryCall, chosen: Assigned, answer: WireAnswer, took_s: float
+    def _read_response(
+        self,
+        call: EntryCall,
+        assignment: Assignment,
+        response: HttpResponse,
+        took_s: float,
     ) -> AttemptEnd:
-        if says_not_run(answer):
+        if says_not_run(response):
             return AttemptNotRun()
-        if not from_target_program(answer):
+        if not from_target_program(response):
             return AttemptLost(CallProblem.BAD_ANSWER)
-        offer = chosen.offer
-        if answer.status in SUCCESS_STATUSES and offer.has_free_slot:
+        offer = assignment.offer
+        if response.status in SUCCESS_STATUSES and offer.has_free_slot:
             self.ranker.estimates.record_work(
                 call, took_s * MS_PER_S, offer.slowdown, offer.saturated
             )
-        headers = tuple(headers_to_caller(answer))
+        headers = tuple(headers_to_caller(response))
         return AttemptAnswered(
-            TargetResponse(answer.status, headers, bytes(answer.body))
+            TargetResponse(response.status, headers, bytes(response.body))
         )
 
-    # Ends
+    # Outcomes
 
-    def _judge(self, progress: CallProgress, end: AttemptEnd) -> EntryOutcome | None:
-        """Return the outcome that an attempt's end makes, None to try again."""
+    def _outcome_after(
+        self, progress: CallProgress, end: AttemptEnd
+    ) -> EntryOutcome | None:
+        """Return the outcome after an attempt's end, None to try again."""
         call = progress.call
         if isinstance(end, AttemptAnswered):
-            progress.last_answer = end.answer
+            progress.last_response = end.answer
             repeatable = call.route.idempotent and _is_failure(end)
-            if repeatable and self._may_try_again(progress):
+            if repeatable and self._try_spend_retry(progress):
                 return None
             return Delivered(end.answer)
         if isinstance(end, AttemptLost):
             progress.last_problem = end.problem
-            if call.route.idempotent and self._may_try_again(progress):
+            if call.route.idempotent and self._try_spend_retry(progress):
                 return None
             return self._last_outcome(progress, end.problem)
-        if self._may_try_again(progress):
+        if self._try_spend_retry(progress):
             return None
         refusal = self.admission.refuse(
             call,
@@ -237,18 +246,21 @@
             CallProblem.TARGETS_REFUSED,
             self.clock.now_s(),
         )
-        return self._give_up(progress, refusal)
+        return self._refused_outcome(progress, refusal)
 
-    def _may_try_again(self, progress: CallProgress) -> bool:
+    def _try_spend_retry(self, progress: CallProgress) -> bool:
+        """Return whether another attempt is allowed, and spend a retry if so."""
         call = progress.call
         now_s = self.clock.now_s()
         if len(progress.tried) >= call.route.attempt_limit:
             return False
-        if now_s + LEAST_TIME_LEFT_S >= call.deadline_s:
+        if now_s + MIN_TIME_LEFT_S >= call.deadline_s:
             return False
         return self.retry_budget.try_spend_retry(call.service_id, 1, now_s)
 
-    def _give_up(self, progress: CallProgress, refusal: RefuseCall) -> EntryOutcome:
+    def _refused_outcome(
+        self, progress: CallProgress, refusal: RefuseCall
+    ) -> EntryOutcome:
         if progress.may_have_run:
             return self._last_outcome(progress, progress.last_problem)
         return NotRun(CallProblem(refusal.reason), refusal.retry_at_s)
@@ -257,8 +269,8 @@
         self, progress: CallProgress, problem: CallProblem
     ) -> EntryOutcome:
         """Return the outcome of a call that may have run."""
-        if progress.last_answer is not None:
-            return Delivered(progress.last_answer)
+        if progress.last_response is not None:
+            return Delivered(progress.last_response)
         return Undetermined(problem)
 
 
--- a/packages/baobabring/baobabring/program/entry/_instance.py
+++ b/packages/baobabring/baobabring/program/entry/_instance.py
@@ -1,4 +1,4 @@
-"""An entry instance: its parts, its tasks, and how it leaves."""
+"""Entry instance: its parts, its tasks and its graceful shutdown."""
 
 import asyncio
 import signal
@@ -32,8 +32,8 @@
     create_metrics_app,
     create_ready_app,
 )
-from baobabring.program.entry._call_task import CallTask
-from baobabring.program.entry._failure_notices import FailureNotices
+from baobabring.program.entry._call_runner import CallRunner
+from baobabring.program.entry._failure_counts import FailureCounts
 from baobabring.program.entry._forwarder import Forwarder
 from baobabring.program.entry._metrics import TARGETS, VIEW_AGE
 from baobabring.program.entry._peer_task import PeerTask
@@ -46,21 +46,21 @@
 LOG = logbook.Logger("instance")
 
 METRICS_PORT = 9_100
-HOUSEKEEPING_S = 1.0
-# The platform's balancer sends connections until it has missed two answers.
+HOUSEKEEPING_INTERVAL_S = 1.0
+# The platform's load balancer sends connections until two readiness checks failed.
 BALANCER_LAG_S = 3.0
 SHUTDOWN_MARGIN_S = 0.8
-LEAVE_POLL_S = 0.05
+SHUTDOWN_POLL_S = 0.05
 IDLE_TIMEOUT_MARGIN_S = 3.0
 MS_PER_S = 1_000
-# What is saved up and what is earned in one window make up the allowance.
+# A full burst and the refill during one window together make up the retry slack.
 RETRY_BURST_SHARE = 0.6
 RETRY_FLOOR_SHARE = 0.4
 RETRY_PLANNED_SHARE = 0.85
 
 
 class EntryInstance:
-    """Own the parts and the tasks of an entry instance."""
+    """Create the parts of an entry instance and run its tasks."""
 
     def __init__(self, settings: EntrySettings, path: Path, rng: Random) -> None:
         self.settings = settings
@@ -68,11 +68,11 @@
         self.clock = RunningClock()
         self.link = PeerLink(create_peer_transport(settings.peer_address, None))
         now_s = self.clock.now_s()
-        self.shared = SharedView(settings.instance_id, settings.peer_address)
+        self.shared_view = SharedView(settings.instance_id, settings.peer_address)
         self.schedule = ReadSchedule(settings.instance_id, now_s)
         self.store = StoreClient(settings.store_address, ConnectionPool())
         self.target_table = TargetTable(settings.instance_id, settings.zone)
-        self.notices = FailureNotices(self.target_table, self.clock)
+        self.failure_counts = FailureCounts(self.target_table, self.clock)
         self.budget = ProbeRateBudget(settings.limits.probes_per_target_s)
         announcements = Announcements(
             settings.instance_id, settings.peer_address, self.store, self.clock
@@ -83,12 +83,17 @@
             announcements,
             self.link,
             self.budget,
-            self.notices,
+            self.failure_counts,
             self.clock,
         )
         self.peers.is_reader = lambda: self.schedule.is_reader
         self.view_task = ViewTask(
-            self.shared, self.schedule, self.store, self.link, self.peers, self.clock
+            self.shared_view,
+            self.schedule,
+            self.store,
+            self.link,
+            self.peers,
+            self.clock,
         )
         self.cold_start_limiter = ColdStartLimiter(settings.instance_id)
         self.ranker = TargetRanker(
@@ -105,33 +110,33 @@
             self.ranker,
             Admission(rng),
             self.retry_budget,
-            self.notices,
+            self.failure_counts,
             self.budget,
             self.pool,
             self.clock,
         )
-        self.calls = CallTask(self.shared, forwarder, self.clock, rng)
-        self.callers = HttpServer(
+        self.calls = CallRunner(self.shared_view, forwarder, self.clock, rng)
+        self.caller_server = HttpServer(
             create_caller_app(self.calls), settings.caller_address
         )
-        self.readiness = HttpServer(
+        self.ready_server = HttpServer(
             create_ready_app(self.calls), settings.ready_address
         )
-        self.metrics = HttpServer(
+        self.metrics_server = HttpServer(
             create_metrics_app(), f"{settings.metrics_host}:{METRICS_PORT}"
         )
-        self._leaving = asyncio.Event()
+        self._shutdown_requested = asyncio.Event()
 
     async def run(self) -> None:
-        """Serve until a signal, then leave without cutting anything off."""
+        """Serve until SIGTERM or SIGINT, then shut down gracefully."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._leaving.set)
+            loop.add_signal_handler(number, self._shutdown_requested.set)
         loop.add_signal_handler(signal.SIGHUP, self.settings_task.reload, "signal")
         self.link.start()
-        self.view_task.add_listener(self._view_changed)
-        self.peers.add_listener(self._instances_changed)
-        for server in (self.callers, self.readiness, self.metrics):
+        self.view_task.add_listener(self._on_view_changed)
+        self.peers.add_listener(self._on_instances_changed)
+        for server in (self.caller_server, self.ready_server, self.metrics_server):
             await server.start()
         LOG.info(
             "started",
@@ -141,11 +146,11 @@
             store=self.settings.store_address,
         )
         tasks = asyncio.ensure_future(self._run_tasks())
-        leaving = asyncio.ensure_future(self._leaving.wait())
-        await asyncio.wait((tasks, leaving), return_when=asyncio.FIRST_COMPLETED)
+        shutdown = asyncio.ensure_future(self._shutdown_requested.wait())
+        await asyncio.wait((tasks, shutdown), return_when=asyncio.FIRST_COMPLETED)
         if tasks.done():
             tasks.result()
-        await self._leave()
+        await self._shut_down()
         tasks.cancel()
         await asyncio.gather(tasks, return_exceptions=True)
         LOG.info("stopped", instance=self.settings.instance_id)
@@ -155,76 +160,80 @@
             group.create_task(self.view_task.run())
             group.create_task(self.peers.run())
             group.create_task(self.settings_task.run())
-            group.create_task(self._keep_house())
+            group.create_task(self._run_housekeeping())
 
-    async def _keep_house(self) -> None:
+    async def _run_housekeeping(self) -> None:
         while True:
-            await asyncio.sleep(HOUSEKEEPING_S)
-            self.pool.close_idle()
-            if self.shared.confirmed_at_s is not None:
-                VIEW_AGE.set(self.clock.now_s() - self.shared.confirmed_at_s)
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
+            self.pool.close_expired()
+            if self.shared_view.confirmed_at_s is not None:
+                VIEW_AGE.set(self.clock.now_s() - self.shared_view.confirmed_at_s)
 
-    def _view_changed(self) -> None:
-        view = self.shared.view
+    def _on_view_changed(self) -> None:
+        view = self.shared_view.view
         now_s = self.clock.now_s()
         if self.ranker.configuration is not view.configuration:
             self.ranker.configuration = view.configuration
-            self.calls.configure(view.configuration)
-            self._adopt_caller_limits(view.configuration.limits)
-        gone = self.target_table.set_targets(
+            self.calls.set_configuration(view.configuration)
+            self._apply_caller_limits(view.configuration.limits)
+        removed = self.target_table.set_targets(
             view.targets.values(), view.zones_out, now_s
         )
-        self.cold_start_limiter.remove_targets(gone)
+        self.cold_start_limiter.remove_targets(removed)
         TARGETS.set(len(view.targets))
         self.budget.set_targets(len(view.targets))
-        self._judge_readiness()
+        self._update_readiness()
 
-    def _adopt_caller_limits(self, limits: CallerLimits) -> None:
+    def _apply_caller_limits(self, limits: CallerLimits) -> None:
         idle_s = limits.idle_timeout_ms / MS_PER_S
-        self.callers.set_keep_alive(idle_s + IDLE_TIMEOUT_MARGIN_S)
-        self.callers.header_limits.limit_bytes = limits.header_limit_bytes
-        self.callers.header_limits.timeout_s = limits.header_timeout_ms / MS_PER_S
+        self.caller_server.set_keep_alive(idle_s + IDLE_TIMEOUT_MARGIN_S)
+        self.caller_server.header_limits.limit_bytes = limits.header_limit_bytes
+        self.caller_server.header_limits.timeout_s = limits.header_timeout_ms / MS_PER_S
 
-    def _instances_changed(self) -> None:
-        instances = self.peers.live()
+    def _on_instances_changed(self) -> None:
+        instances = self.peers.live_addresses()
         self.ranker.instances = len(instances)
         self.schedule.set_instances(instances)
-        # Shares of what the fleet may do hold also while peers are only out of reach.
-        known = self.peers.known()
+        # Peers that are only unreachable still use their shares of the fleet's limits.
+        known = self.peers.known_ids()
         self.cold_start_limiter.set_instances(known)
         self.retry_budget.settings = retry_settings(self.settings.limits, len(known))
 
-    def _judge_readiness(self) -> None:
-        ready = self.shared.is_complete and not self._leaving.is_set()
+    def _update_readiness(self) -> None:
+        ready = self.shared_view.is_complete and not self._shutdown_requested.is_set()
         if ready != self.calls.ready:
             self.calls.ready = ready
-            LOG.info("readiness", ready=ready, targets=len(self.shared.view.targets))
+            LOG.info(
+                "readiness changed",
+                ready=ready,
+                targets=len(self.shared_view.view.targets),
+            )
 
     def _apply_settings(self, settings: EntrySettings) -> None:
-        """Take over limits; who the instance is and where it listens stays."""
+        """Apply changed limits; the instance id, zone and addresses stay."""
         self.settings = replace(self.settings, limits=settings.limits)
         self.budget.probes_per_target_s = settings.limits.probes_per_target_s
-        self._instances_changed()
+        self._on_instances_changed()
 
-    async def _leave(self) -> None:
+    async def _shut_down(self) -> None:
         started_at_s = self.clock.now_s()
         limit_s = self.settings.limits.shutdown_ms / MS_PER_S - SHUTDOWN_MARGIN_S
-        self.calls.leaving = True
-        self._judge_readiness()
-        LOG.info("leaving", calls=self.calls.in_progress)
-        self.peers.leave()
+        self.calls.shutting_down = True
+        self._update_readiness()
+        LOG.info("shutting down", calls=self.calls.in_progress)
+        self.peers.announce_leaving()
         await asyncio.sleep(min(BALANCER_LAG_S, limit_s / 2))
-        self.callers.close_listener()
+        self.caller_server.close_listener()
         while self.clock.now_s() < started_at_s + limit_s:
-            if not self.calls.in_progress and not self.callers.connections:
+            if not self.calls.in_progress and not self.caller_server.connections:
                 break
-            self.callers.close_idle()
-            await asyncio.sleep(LEAVE_POLL_S)
-        LOG.info("left", calls=self.calls.in_progress)
+            self.caller_server.close_idle()
+            await asyncio.sleep(SHUTDOWN_POLL_S)
+        LOG.info("drain ended", calls=self.calls.in_progress)
 
 
 def retry_settings(limits: FleetLimits, instances: int) -> RetrySettings:
-    """Return one instance's part of the repeats that the fleet may send."""
+    """Return one instance's share of the retries that the fleet may send."""
     slack = limits.retry_slack * RETRY_PLANNED_SHARE / instances
     return RetrySettings(
         retry_share=limits.retry_share * RETRY_PLANNED_SHARE,
--- a/packages/baobabring/baobabring/program/entry/_line_log.py
+++ b/packages/baobabring/baobabring/program/entry/_line_log.py
@@ -1,4 +1,4 @@
-"""Structured log lines on standard output, bounded and without blocking."""
+"""Structured log lines on standard output, rate-limited and non-blocking."""
 
 import os
 from time import monotonic
@@ -6,29 +6,29 @@
 import logbook
 import msgspec
 
-# A line costs processor time, and a reader that lags must not hold up calls.
+# Log lines cost processor time, and a slow log reader must not delay calls.
 LINES_PER_S = 400.0
-LINES_SAVED_UP = 2_000.0
-STANDARD_OUTPUT = 1
+LINE_BURST = 2_000.0
+STDOUT_DESCRIPTOR = 1
 
 _encoder = msgspec.json.Encoder(enc_hook=str)
 
 
-class LineHandler(logbook.Handler):
-    """Write records as lines of JSON; what goes past the bound is counted only."""
+class JsonLineHandler(logbook.Handler):
+    """Write records as lines of JSON, and only count those above the rate limit."""
 
-    def __init__(self, descriptor: int = STANDARD_OUTPUT) -> None:
+    def __init__(self, descriptor: int = STDOUT_DESCRIPTOR) -> None:
         super().__init__(level=logbook.INFO)
         self.dropped = 0
         self._descriptor = descriptor
-        self._allowance = LINES_SAVED_UP
+        self._tokens = LINE_BURST
         self._refilled_at_s = monotonic()
         self._unwritten = b""
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logbook.LogRecord) -> None:
         """Write one record, or count it as dropped."""
-        if not self._may_write():
+        if not self._take_token():
             self.dropped += 1
             return
         line = {"at_s": record.time.timestamp(), "part": record.channel}
@@ -42,25 +42,25 @@
             line["lines_dropped"] = self.dropped
         self._write(_encoder.encode(line) + b"\n")
 
-    def _may_write(self) -> bool:
+    def _take_token(self) -> bool:
         now_s = monotonic()
         earned = (now_s - self._refilled_at_s) * LINES_PER_S
-        self._allowance = min(self._allowance + earned, LINES_SAVED_UP)
+        self._tokens = min(self._tokens + earned, LINE_BURST)
         self._refilled_at_s = now_s
-        if self._allowance < 1:
+        if self._tokens < 1:
             return False
-        self._allowance -= 1
+        self._tokens -= 1
         return True
 
     def _write(self, line: bytes) -> None:
-        # The rest of a line that was cut goes first, or lines would run together.
+        # The rest of a partly written line goes first, or the lines would mix.
         data = self._unwritten + line
         try:
             written = os.write(self._descriptor, data)
         except BlockingIOError:
             written = 0
         except OSError:
-            # Nobody reads; a log that is lost must not end the process.
+            # Nobody reads the output any more, which must not end the process.
             self.dropped += 1
             self._unwritten = b""
             return
--- a/packages/baobabring/baobabring/program/entry/_main.py
+++ b/packages/baobabring/baobabring/program/entry/_main.py
@@ -18,7 +18,7 @@
     read_node_settings,
 )
 from baobabring.program.entry._instance import EntryInstance
-from baobabring.program.entry._line_log import LineHandler
+from baobabring.program.entry._line_log import JsonLineHandler
 from baobabring.program.entry._metrics import LINES_DROPPED
 
 EXIT_OK = 0
@@ -44,7 +44,7 @@
         print(f"{name}: valid")
         return EXIT_OK
     logging.getLogger().handlers = [RedirectLoggingHandler()]
-    handler = LineHandler()
+    handler = JsonLineHandler()
     LINES_DROPPED.set_function(lambda: handler.dropped)
     with handler.applicationbound():
         uvloop.run(_serve(settings, path))
@@ -53,7 +53,8 @@
 
 async def _serve(settings: EntrySettings, path: Path) -> None:
     instance = EntryInstance(settings, path, Random())
-    # What is there at the start stays, so that collections need not visit it.
+    # Exempts the objects created so far, which live as long as the process, from
+    # garbage collection.
     gc.freeze()
     await instance.run()
 
--- a/packages/baobabring/baobabring/program/entry/_peer_task.py
+++ b/packages/baobabring/baobabring/program/entry/_peer_task.py
@@ -1,4 +1,8 @@
-"""Which instances there are, by the store at the start and by their messages."""
+"""Discovery of the other instances, by announcements and by messages.
+
+The reader is the instance that reads the store for the fleet. It receives signs of
+life from all others and sends them the list of instances.
+"""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -18,36 +22,36 @@
 from baobabring.platform.store import StoreFailed
 from baobabring.program._peer_link import PeerLink
 from baobabring.program.entry._announcements import Announcements
-from baobabring.program.entry._failure_notices import FailureNotices
+from baobabring.program.entry._failure_counts import FailureCounts
 from baobabring.utils import Clock
 
 LOG = logbook.Logger("peers")
 
 ALIVE_INTERVAL_S = 0.5
-# An instance that knows no reader tells these, the likeliest ones.
-CONTACTS = 3
-# The reader drops instances that were silent for a few intervals.
-SILENT_S = 6.0
-# An instance that joins tells several, each of which passes that on to the reader.
-WELCOME_PAUSE_S = 0.3
-# A peer that fell silent may still run, and counts in shared limits for this long.
-REMEMBERED_S = 60.0
-RETRY_S = 0.5
-RETRY_LIMIT_S = 4.0
+# An instance that knows no reader sends to this many peers, the likeliest readers.
+MAX_CONTACTS = 3
+# The reader removes instances that were silent for several intervals.
+PEER_TIMEOUT_S = 6.0
+# A joining instance contacts several peers, and each forwards that to the reader.
+VIEW_RESEND_INTERVAL_S = 0.3
+# A silent peer may still run, so it counts in the shared limits for this long.
+SILENT_PEER_RETENTION_S = 60.0
+RETRY_INTERVAL_S = 0.5
+MAX_RETRY_INTERVAL_S = 4.0
 
 
 @dataclass(slots=True)
 class _Peer:
-    """Hold where a peer is reached, and when it was heard and welcomed last."""
+    """Represent a peer and when it was last seen and last sent the view."""
 
     address: str
-    heard_at_s: float
+    last_seen_at_s: float
     probes_per_s: float = 0.0
-    welcomed_at_s: float = float("-inf")
+    view_sent_at_s: float = float("-inf")
 
 
 class PeerTask:
-    """Keep the addresses of the other instances."""
+    """Track the other instances and exchange the fleet's status with them."""
 
     def __init__(
         self,
@@ -56,7 +60,7 @@
         announcements: Announcements,
         link: PeerLink,
         budget: ProbeRateBudget,
-        notices: FailureNotices,
+        failure_counts: FailureCounts,
         clock: Clock,
     ) -> None:
         self.instance_id = instance_id
@@ -64,7 +68,7 @@
         self.announcements = announcements
         self.link = link
         self.budget = budget
-        self.notices = notices
+        self.failure_counts = failure_counts
         self.clock = clock
         self.reader_address: str | None = None
         self.is_reader: Callable[[], bool] = lambda: False
@@ -73,38 +77,38 @@
         self.joined = asyncio.Event()
         self._peers: dict[str, _Peer] = {}
         self._listeners: list[Callable[[], None]] = []
-        self._silent_until_s: dict[str, float] = {}
-        self._told = InstanceList()
+        self._counted_until_s: dict[str, float] = {}
+        self._published = InstanceList()
         self._probes_per_s = 0.0
-        link.subscribe(InstanceAlive, self._heard_alive)
+        link.subscribe(InstanceAlive, self._on_alive)
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Call `listener` when instances come or go."""
+        """Call `listener` after instances joined or left."""
         self._listeners.append(listener)
 
-    def live(self) -> dict[str, str]:
+    def live_addresses(self) -> dict[str, str]:
         """Return the addresses of all instances, by id, this one included."""
         addresses = {peer_id: peer.address for peer_id, peer in self._peers.items()}
         addresses[self.instance_id] = self.address
         return addresses
 
-    def known(self) -> frozenset[str]:
-        """Return the ids of all instances that may run, silent ones included."""
+    def known_ids(self) -> frozenset[str]:
+        """Return the ids of all instances that may be running, silent ones included."""
         now_s = self.clock.now_s()
-        silent = {p for p, until_s in self._silent_until_s.items() if until_s > now_s}
+        silent = {p for p, until_s in self._counted_until_s.items() if until_s > now_s}
         return frozenset(self._peers) | silent | {self.instance_id}
 
-    def fleet_rate(self) -> float:
-        """Return the probes that all instances sent in the last second."""
+    def fleet_probes_per_s(self) -> float:
+        """Return the rate of probes that all instances send."""
         peers_per_s = sum(peer.probes_per_s for peer in self._peers.values())
         return self._probes_per_s + peers_per_s
 
-    def adopt_fleet_rate(self, probes_per_s: float) -> None:
-        """Scale own probes by what the whole fleet sends."""
+    def update_fleet_rate(self, probes_per_s: float) -> None:
+        """Scale this instance's probes by the rate of the whole fleet."""
         self.budget.set_fleet_rate(probes_per_s)
 
-    def heard(self, peer_id: str, address: str) -> None:
-        """Take in that a peer lives."""
+    def record_peer(self, peer_id: str, address: str) -> None:
+        """Record a sign of life of a peer."""
         if peer_id == self.instance_id:
             return
         now_s = self.clock.now_s()
@@ -114,172 +118,176 @@
             LOG.info("instance joined", instance=peer_id, address=address)
             self._changed()
             return
-        known.heard_at_s = now_s
+        known.last_seen_at_s = now_s
 
     async def run(self) -> None:
-        """Join the fleet, then tell the reader that this instance lives."""
+        """Join the fleet, then send signs of life to the reader until cancelled."""
         await self._join()
         while True:
             await asyncio.sleep(ALIVE_INTERVAL_S)
             self._probes_per_s = self.budget.pop_sent_count() / ALIVE_INTERVAL_S
             if self.is_reader():
-                self._drop_silent()
+                self._remove_silent()
                 continue
-            self._tell_reader(
+            self._send_to_reader(
                 InstanceAlive(
                     self.instance_id,
                     self.address,
                     self._probes_per_s,
-                    self.notices.take_unsent(),
+                    self.failure_counts.drain_unsent(),
                 )
             )
 
     async def refresh(self) -> None:
-        """Find, as the reader, instances that it lost or never knew.
+        """Discover, as the reader, instances that it removed or never knew.
 
-        After a long cut both sides have forgotten each other.
+        After a long network partition both sides have removed each other.
         """
-        live = self.live()
-        announced = await self._find()
+        live = self.live_addresses()
+        announced = await self._read_announcements()
         if isinstance(announced, StoreFailed):
-            LOG.info("instances not read", problem=announced.problem)
+            LOG.info("reading announcements failed", problem=announced.problem)
             return
-        await self.announcements.make(announced)
+        await self.announcements.announce(announced)
         await self.announcements.remove_stale(announced, live)
 
-    def leave(self) -> None:
-        """Tell the reader that this instance leaves."""
-        self._tell_reader(InstanceAlive(self.instance_id, self.address, leaving=True))
+    def announce_leaving(self) -> None:
+        """Notify the reader that this instance is leaving."""
+        self._send_to_reader(
+            InstanceAlive(self.instance_id, self.address, leaving=True)
+        )
 
-    def status(self) -> FleetStatus:
-        """Return what this instance, as the reader, tells of all."""
-        self.adopt_fleet_rate(self.fleet_rate())
+    def build_status(self) -> FleetStatus:
+        """Return the status of the fleet that this instance sends as the reader."""
+        self.update_fleet_rate(self.fleet_probes_per_s())
         return FleetStatus(
-            self._told.replace_and_diff(self.live()),
-            self.fleet_rate(),
-            self.notices.take_collected(),
+            self._published.replace_and_diff(self.live_addresses()),
+            self.fleet_probes_per_s(),
+            self.failure_counts.drain_totals(),
         )
 
-    def status_told(self) -> FleetStatus:
-        """Return what this instance knows that it or the reader told of all."""
-        unchanged = InstanceChanges({}, [], self._told.digest())
-        return FleetStatus(unchanged, self.fleet_rate())
+    def published_status(self) -> FleetStatus:
+        """Return the fleet's status as published last, without changes or failures."""
+        unchanged = InstanceChanges({}, [], self._published.digest())
+        return FleetStatus(unchanged, self.fleet_probes_per_s())
 
-    def heard_status(self, heartbeat: ViewHeartbeat) -> bool:
-        """Take in what the reader tells; return whether its list is known now."""
+    def apply_status(self, heartbeat: ViewHeartbeat) -> bool:
+        """Apply the reader's status; return whether the lists of instances match."""
         self.reader_address = heartbeat.address
-        self.heard(heartbeat.sender, heartbeat.address)
-        self.adopt_fleet_rate(heartbeat.probes_per_s)
-        self.notices.heard_totals(heartbeat.failures)
-        if not self._told.apply(heartbeat.instances):
+        self.record_peer(heartbeat.sender, heartbeat.address)
+        self.update_fleet_rate(heartbeat.probes_per_s)
+        self.failure_counts.apply_totals(heartbeat.failures)
+        if not self._published.apply(heartbeat.instances):
             return False
         if not heartbeat.instances.is_empty:
-            self._adopt(self._told.addresses)
+            self._update_peers(self._published.addresses)
         return True
 
-    def list_told(self) -> Mapping[str, str]:
-        """Return the list of instances as it or the reader told it last."""
-        return self._told.addresses
+    def published_instances(self) -> Mapping[str, str]:
+        """Return the list of instances as published last by the reader."""
+        return self._published.addresses
 
-    def heard_list(self, addresses: Mapping[str, str]) -> None:
-        """Take over a peer's whole list of instances."""
-        self._told.replace(addresses)
-        self._adopt(addresses)
+    def apply_instances(self, addresses: Mapping[str, str]) -> None:
+        """Replace the list of instances by that of a peer."""
+        self._published.replace(addresses)
+        self._update_peers(addresses)
 
-    def _adopt(self, instances: Mapping[str, str]) -> None:
+    def _update_peers(self, instances: Mapping[str, str]) -> None:
         now_s = self.clock.now_s()
-        before = self.live()
+        before = self.live_addresses()
         for peer_id, address in instances.items():
             known = self._peers.get(peer_id)
             if peer_id != self.instance_id and known is None:
                 self._peers[peer_id] = _Peer(address, now_s)
         for peer_id in self._peers.keys() - instances.keys():
-            if now_s - self._peers[peer_id].heard_at_s > SILENT_S:
-                self._forget(peer_id, now_s)
-        if self.live() != before:
+            if now_s - self._peers[peer_id].last_seen_at_s > PEER_TIMEOUT_S:
+                self._remove_peer(peer_id, now_s)
+        if self.live_addresses() != before:
             self._changed()
 
-    def _tell_reader(self, message: InstanceAlive) -> None:
-        """Send to the reader, or to those that are likely to know it."""
+    def _send_to_reader(self, message: InstanceAlive) -> None:
+        """Send to the reader, or to its likeliest candidates if it is unknown."""
         if self.reader_address is not None:
             self.link.send(self.reader_address, message)
             return
-        contacts = sorted(self._peers, key=reader_sort_key)[:CONTACTS]
+        contacts = sorted(self._peers, key=reader_sort_key)[:MAX_CONTACTS]
         for peer_id in contacts:
             self.link.send(self._peers[peer_id].address, message)
 
     async def _join(self) -> None:
-        pause_s = RETRY_S
-        while (failure := await self._find_and_announce()) is not None:
+        pause_s = RETRY_INTERVAL_S
+        while (failure := await self._read_and_announce()) is not None:
             LOG.warning("joining failed", problem=failure.problem)
             await asyncio.sleep(pause_s)
-            pause_s = min(pause_s * 2, RETRY_LIMIT_S)
-        self._tell_reader(InstanceAlive(self.instance_id, self.address, joining=True))
+            pause_s = min(pause_s * 2, MAX_RETRY_INTERVAL_S)
+        self._send_to_reader(
+            InstanceAlive(self.instance_id, self.address, joining=True)
+        )
         self.joined.set()
 
-    async def _find_and_announce(self) -> StoreFailed | None:
-        announced = await self._find()
+    async def _read_and_announce(self) -> StoreFailed | None:
+        announced = await self._read_announcements()
         if isinstance(announced, StoreFailed):
             return announced
-        return await self.announcements.make(announced)
+        return await self.announcements.announce(announced)
 
-    async def _find(self) -> dict[str, str] | StoreFailed:
-        """Learn from the store which instances announced themselves."""
+    async def _read_announcements(self) -> dict[str, str] | StoreFailed:
+        """Return the announcements in the store, and record those that are new."""
         announced = await self.announcements.read()
         if isinstance(announced, StoreFailed):
             return announced
         for peer_id, address in announced.items():
             known = self._peers.get(peer_id)
-            # An announcement is no sign of life of a peer that fell silent.
+            # An unchanged announcement is no sign of life of a silent peer.
             if known is None or known.address != address:
-                self.heard(peer_id, address)
+                self.record_peer(peer_id, address)
         return announced
 
-    def _heard_alive(self, message: InstanceAlive) -> None:
+    def _on_alive(self, message: InstanceAlive) -> None:
         if not self.is_reader() and self.reader_address is not None:
-            # The sender doesn't know the reader yet.
+            # The sender doesn't know the reader.
             self.link.send(self.reader_address, message)
         if message.leaving:
-            self._heard_leaving(message)
+            self._on_leaving(message)
             return
-        self.heard(message.sender, message.address)
+        self.record_peer(message.sender, message.address)
         peer = self._peers.get(message.sender)
         if peer is not None:
             peer.probes_per_s = message.probes_per_s
-        self.notices.collect(message.failures)
-        knows_best = self.is_reader() or self.reader_is_silent()
-        if message.joining and peer is not None and knows_best:
-            self._welcome(peer)
+        self.failure_counts.add_counts(message.failures)
+        should_send_view = self.is_reader() or self.reader_is_silent()
+        if message.joining and peer is not None and should_send_view:
+            self._send_view_once(peer)
 
-    def _welcome(self, peer: _Peer) -> None:
-        """Tell the view to an instance that joins, once for all that pass it on."""
+    def _send_view_once(self, peer: _Peer) -> None:
+        """Send the view to a joining instance, once for all forwarded messages."""
         now_s = self.clock.now_s()
-        if now_s - peer.welcomed_at_s < WELCOME_PAUSE_S:
+        if now_s - peer.view_sent_at_s < VIEW_RESEND_INTERVAL_S:
             return
-        peer.welcomed_at_s = now_s
+        peer.view_sent_at_s = now_s
         self.send_view(peer.address)
 
-    def _heard_leaving(self, message: InstanceAlive) -> None:
+    def _on_leaving(self, message: InstanceAlive) -> None:
         if self._peers.pop(message.sender, None) is not None:
             LOG.info("instance left", instance=message.sender)
             self._changed()
 
-    def _drop_silent(self) -> None:
+    def _remove_silent(self) -> None:
         now_s = self.clock.now_s()
         silent = [
             peer_id
             for peer_id, peer in self._peers.items()
-            if now_s - peer.heard_at_s > SILENT_S
+            if now_s - peer.last_seen_at_s > PEER_TIMEOUT_S
         ]
         for peer_id in silent:
-            self._forget(peer_id, now_s)
-            LOG.info("instance silent", instance=peer_id, for_s=SILENT_S)
+            self._remove_peer(peer_id, now_s)
+            LOG.info("instance timed out", instance=peer_id, for_s=PEER_TIMEOUT_S)
         if silent:
             self._changed()
 
-    def _forget(self, peer_id: str, now_s: float) -> None:
+    def _remove_peer(self, peer_id: str, now_s: float) -> None:
         del self._peers[peer_id]
-        self._silent_until_s[peer_id] = now_s + REMEMBERED_S
+        self._counted_until_s[peer_id] = now_s + SILENT_PEER_RETENTION_S
 
     def _changed(self) -> None:
         addresses = {peer.address for peer in self._peers.values()}
--- a/packages/baobabring/baobabring/program/entry/_prober.py
+++ b/packages/baobabring/baobabring/program/entry/_prober.py
@@ -8,8 +8,8 @@
     ConnectError,
     ConnectionPool,
     ExchangeError,
-    TargetConnection,
-    WireAnswer,
+    HttpConnection,
+    HttpResponse,
 )
 from baobabring.entry import HealthReport, TargetRecord
 from baobabring.platform.wire import (
@@ -20,24 +20,24 @@
 from baobabring.program.entry._metrics import PROBES
 from baobabring.utils import Clock
 
-# Targets in the own availability zone answer within a millisecond or their probe's
-# cost; the others are waited for while nobody has answered.
+# Targets in the same availability zone respond within 1 ms or the time that a probe
+# costs them. Slower ones are awaited only while no target has responded.
 FIRST_WAIT_S = 0.012
-LAST_WAIT_S = 0.06
+MAX_WAIT_S = 0.06
 PROBE_TIMEOUT_S = 0.15
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeAnswer:
-    """Hold a target's answer and the connection on which it came."""
+class ProbeResponse:
+    """Represent a target's health report and the connection it was received on."""
 
     report: HealthReport
     address: str
-    connection: TargetConnection
+    connection: HttpConnection
 
 
 class Prober:
-    """Probe targets for their load, several at once."""
+    """Probe several targets at once for their load."""
 
     def __init__(self, pool: ConnectionPool, clock: Clock) -> None:
         self.pool = pool
@@ -45,8 +45,8 @@
 
     async def probe(
         self, records: Collection[TargetRecord], health_path: str
-    ) -> list[ProbeAnswer]:
-        """Return the answers that come in time; late ones only update records."""
+    ) -> list[ProbeResponse]:
+        """Return the responses that arrive in time; late ones only update records."""
         tasks = [
             asyncio.ensure_future(self._probe_one(record, health_path))
             for record in records
@@ -58,67 +58,67 @@
             if late and not any(task.result() for task in done):
                 more, late = await asyncio.wait(
                     late,
-                    timeout=LAST_WAIT_S - FIRST_WAIT_S,
+                    timeout=MAX_WAIT_S - FIRST_WAIT_S,
                     return_when=asyncio.FIRST_COMPLETED,
                 )
                 done |= more
         except asyncio.CancelledError:
             for task in tasks:
-                task.add_done_callback(self._keep_connection)
+                task.add_done_callback(self._release_when_done)
             raise
         for task in late:
-            task.add_done_callback(self._keep_connection)
+            task.add_done_callback(self._release_when_done)
         return [task.result() for task in done if task.result() is not None]
 
-    def release(self, answer: ProbeAnswer) -> None:
-        """Take back the connection of an answer that was not chosen."""
-        self.pool.give_back(answer.address, answer.connection)
+    def release(self, response: ProbeResponse) -> None:
+        """Return the connection of an unused response to the pool."""
+        self.pool.return_connection(response.address, response.connection)
 
-    def _keep_connection(self, task: asyncio.Task) -> None:
+    def _release_when_done(self, task: asyncio.Task) -> None:
         if not task.cancelled() and task.exception() is None and task.result():
             self.release(task.result())
 
     async def _probe_one(
         self, record: TargetRecord, health_path: str
-    ) -> ProbeAnswer | None:
+    ) -> ProbeResponse | None:
         target = record.target
         request = health_request(health_path, target.address)
         probed_at_s = self.clock.now_s()
         PROBES.inc()
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_S):
-                connection, answer = await self._exchange(target.address, request)
+                connection, response = await self._exchange(target.address, request)
         except TimeoutError:
-            # Its other connections may have gone silent as well.
-            self.pool.drop(target.address)
+            # The idle connections to the target may be dead as well.
+            self.pool.close_idle_to(target.address)
             record.mark_unreachable(self.clock.now_s())
             return None
         except (ConnectError, ExchangeError):
             record.mark_unreachable(self.clock.now_s())
             return None
-        report = read_health_answer(answer, target.target_id, probed_at_s)
+        report = read_health_answer(response, target.target_id, probed_at_s)
         if report is None:
-            # Another target has the address now.
+            # Another target may have the address now.
             connection.close()
             record.mark_unreachable(self.clock.now_s())
             return None
         record.record_report(report, self.clock.now_s())
-        return ProbeAnswer(report, target.address, connection)
+        return ProbeResponse(report, target.address, connection)
 
     async def _exchange(
         self, address: str, request: bytes
-    ) -> tuple[TargetConnection, WireAnswer]:
-        connection = self.pool.lend_idle(address)
+    ) -> tuple[HttpConnection, HttpResponse]:
+        connection = self.pool.acquire_idle(address)
         if connection is not None:
             try:
                 return connection, await self._send(connection, request)
             except ExchangeError:
-                # The target may have closed it since its last use.
+                # The target may have closed the connection while it was idle.
                 pass
         connection = await self.pool.open(address)
         return connection, await self._send(connection, request)
 
-    async def _send(self, connection: TargetConnection, request: bytes) -> WireAnswer:
+    async def _send(self, connection: HttpConnection, request: bytes) -> HttpResponse:
         try:
             return await connection.exchange(request, CALL_ID_HEADER, None)
         finally:
--- a/packages/baobabring/baobabring/program/entry/_progress.py
+++ b/packages/baobabring/baobabring/program/entry/_progress.py
@@ -1,4 +1,4 @@
-"""How far a call has come."""
+"""Progress of a call."""
 
 from dataclasses import dataclass, field
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class CallProgress:
-    """Hold how far a call has come, for its decisions and its log line."""
+    """Represent the progress of a call, for decisions about it and its log line."""
 
     call: EntryCall
     tried: list[str] = field(default_factory=list)
@@ -15,6 +15,6 @@
     waited: bool = False
     may_have_run: bool = False
     sent: bool = False
-    last_answer: TargetResponse | None = None
+    last_response: TargetResponse | None = None
     last_problem: CallProblem = CallProblem.OVERLOAD
     offers: list[Offer] = field(default_factory=list)
--- a/packages/baobabring/baobabring/program/entry/_server.py
+++ b/packages/baobabring/baobabring/program/entry/_server.py
@@ -8,35 +8,35 @@
 from uvicorn.server import ServerState
 
 from baobabring.callers import create_server_config
-from baobabring.program.entry._caller_protocol import HeaderLimits, LimitedProtocol
+from baobabring.program.entry._caller_protocol import CallerProtocol, HeaderLimits
 
 BACKLOG_CONNECTIONS = 512
-FIRST_KEEP_ALIVE_S = 20
+INITIAL_KEEP_ALIVE_S = 20
 
 
 class HttpServer:
     """Serve an ASGI application at one address.
 
-    uvicorn's own server object owns the process's signals and wakes ten times a
-    second; here it is one of three, and the program owns the signals.
+    It replaces uvicorn's `Server`, which handles the process's signals and wakes ten
+    times a second: an instance runs three servers and handles signals itself.
     """
 
     def __init__(self, app: Callable, address: str) -> None:
         self.address = address
         self.state = ServerState()
         self.header_limits = HeaderLimits()
-        self._config = create_server_config(app, FIRST_KEEP_ALIVE_S)
+        self._config = create_server_config(app, INITIAL_KEEP_ALIVE_S)
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Begin to serve; raises OSError."""
+        """Start to listen; raises OSError if the address can't be bound."""
         self._config.load()
         host, _, port = self.address.rpartition(":")
         listener = socket.create_server(
             (host, int(port)), backlog=BACKLOG_CONNECTIONS, reuse_port=False
         )
         create = partial(
-            LimitedProtocol,
+            CallerProtocol,
             header_limits=self.header_limits,
             config=self._config,
             server_state=self.state,
@@ -48,21 +48,21 @@
         )
 
     def set_keep_alive(self, timeout_s: float) -> None:
-        """Close connections that have been idle for so long."""
+        """Set the idle time after which connections are closed."""
         self._config.timeout_keep_alive = int(timeout_s)
 
     def close_listener(self) -> None:
-        """Take no new connections."""
+        """Stop accepting connections."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
     def close_idle(self) -> None:
-        """Close idle connections, and the others after their answers."""
+        """Close idle connections, and the others after their current response."""
         for connection in list(self.state.connections):
             connection.shutdown()
 
     @property
     def connections(self) -> int:
-        """Return how many connections are open."""
+        """Return the number of open connections."""
         return len(self.state.connections)
--- a/packages/baobabring/baobabring/program/entry/_settings_task.py
+++ b/packages/baobabring/baobabring/program/entry/_settings_task.py
@@ -1,4 +1,4 @@
-"""Taking up of a settings file that changed."""
+"""Reloading of the settings file."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,12 +14,12 @@
 
 LOG = logbook.Logger("settings")
 
-# The file may change without a signal.
+# The file is checked for changes because it may be replaced without a signal.
 CHECK_INTERVAL_S = 1.0
 
 
 class SettingsTask:
-    """Read the settings file again when it changed, and keep the old if it is faulty.
+    """Reload the settings file when it changes; keep the old settings if it is invalid.
 
     Parameters
     ----------
@@ -28,7 +28,7 @@
     settings : EntrySettings
         The settings in force.
     apply : callable
-        Called with new settings.
+        Called with the new settings after a change.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         self._stamp = self._read_stamp()
 
     async def run(self) -> None:
-        """Look for changes until cancelled."""
+        """Check the file for changes until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             stamp = self._read_stamp()
@@ -52,15 +52,15 @@
                 self.reload("file changed")
 
     def reload(self, cause: str) -> None:
-        """Read the file and apply what it says."""
+        """Read the file and apply its settings if they are valid and changed."""
         try:
             settings = read_node_settings(self.path)
         except InvalidNodeSettingsError as error:
             problems = [str(finding) for finding in error.findings]
-            LOG.error("reload failed", cause=cause, problems=problems)
+            LOG.error("settings reload failed", cause=cause, problems=problems)
             return
         changed = settings != self.settings
-        LOG.info("reload", cause=cause, changed=changed)
+        LOG.info("settings reloaded", cause=cause, changed=changed)
         if changed:
             self.settings = settings
             self.apply(settings)
@@ -69,6 +69,6 @@
         try:
             status = self.path.stat()
         except OSError:
-            # A file that is being replaced is there again at the next check.
+            # A file that is being replaced exists again at the next check.
             return None
         return status.st_mtime_ns, status.st_size
--- a/packages/baobabring/baobabring/program/entry/_store_reader.py
+++ b/packages/baobabring/baobabring/program/entry/_store_reader.py
@@ -1,4 +1,4 @@
-"""Reading of the platform's store into the shared view."""
+"""Reader that applies records of the platform's store to the shared view."""
 
 from collections.abc import Callable, Iterable
 
@@ -31,46 +31,46 @@
 
 
 class StoreReader:
-    """Read on from where the view stands, or all anew where history has gone.
+    """Read records from the view's offsets on, or the newest ones if those are gone.
 
     Parameters
     ----------
-    shared : SharedView
-        Takes what is read.
+    shared_view : SharedView
+        View that the records are applied to.
     store : StoreClient
-        Where to read.
-    changed : callable
-        Called with a cause after each change of the view.
+        Client of the store.
+    on_change : callable
+        Called with the cause after each change of the view.
     clock : Clock
-        Tells the time of changes.
+        Clock for the time of changes.
     """
 
     def __init__(
         self,
-        shared: SharedView,
+        shared_view: SharedView,
         store: StoreClient,
-        changed: Callable[[str], None],
+        on_change: Callable[[str], None],
         clock: Clock,
     ) -> None:
-        self.shared = shared
+        self.shared_view = shared_view
         self.store = store
-        self.changed = changed
+        self.on_change = on_change
         self.clock = clock
         self.operators_known = False
         self.targets_known = False
 
-    def goes_on_from_peers(self) -> None:
-        """Read on from the offsets that came with a peer's view."""
+    def resume_from_peer_offsets(self) -> None:
+        """Continue at the offsets that were received with a peer's view."""
         self.operators_known = self.targets_known = True
 
     async def read_operators(self, wait_ms: int) -> StoreFailed | None:
-        """Read what operators wrote, waiting for a first record."""
+        """Read the operators' records; wait up to `wait_ms` for the first new one."""
         if self.operators_known:
-            offset = self.shared.operator_offset
-            outcome = await self._read_on(OPERATOR_TOPIC, offset, wait_ms)
+            offset = self.shared_view.operator_offset
+            outcome = await self._read_from(OPERATOR_TOPIC, offset, wait_ms)
             if isinstance(outcome, Records):
-                if outcome.next_offset >= self.shared.operator_offset:
-                    self.shared.operator_offset = outcome.next_offset
+                if outcome.next_offset >= self.shared_view.operator_offset:
+                    self.shared_view.operator_offset = outcome.next_offset
                     self._apply(map(decode_operator_record, outcome.records))
                 return None
             if isinstance(outcome, StoreFailed):
@@ -82,13 +82,13 @@
         return None
 
     async def read_targets(self) -> StoreFailed | None:
-        """Read what targets registered."""
+        """Read the registrations of targets."""
         if self.targets_known:
-            offset = self.shared.target_offset
-            outcome = await self._read_on(TARGET_TOPIC, offset, 0)
+            offset = self.shared_view.target_offset
+            outcome = await self._read_from(TARGET_TOPIC, offset, 0)
             if isinstance(outcome, Records):
-                if outcome.next_offset >= self.shared.target_offset:
-                    self.shared.target_offset = outcome.next_offset
+                if outcome.next_offset >= self.shared_view.target_offset:
+                    self.shared_view.target_offset = outcome.next_offset
                     self._apply(map(decode_target_record, outcome.records))
                 return None
             if isinstance(outcome, StoreFailed):
@@ -99,48 +99,50 @@
         self._replace_targets(newest)
         return None
 
-    async def _read_on(
+    async def _read_from(
         self, topic: str, offset: int, wait_ms: int
     ) -> Records | HistoryGone | StoreFailed:
         outcome = await self.store.read(topic, offset, wait_ms)
-        self._count(outcome)
+        self._count_call(outcome)
         if isinstance(outcome, HistoryGone):
-            LOG.info("history gone", topic=topic, offset=offset)
+            LOG.info(
+                "records deleted before they were read", topic=topic, offset=offset
+            )
         return outcome
 
     async def _read_newest(self, topic: str) -> Newest | StoreFailed:
         newest = await self.store.newest(topic)
-        self._count(newest)
+        self._count_call(newest)
         return newest
 
     def _replace_operators(self, newest: Newest) -> None:
-        events = self._readable(map(decode_operator_record, newest.records))
+        events = self._readable_events(map(decode_operator_record, newest.records))
         zones = {event.zone for event in events if isinstance(event, ZoneTakenOut)}
-        changed = self.shared.replace_zones_out(zones)
-        changed |= self.shared.apply(events, self.clock.now_s())
-        self.shared.operator_offset = newest.next_offset
+        changed = self.shared_view.replace_zones_out(zones)
+        changed |= self.shared_view.apply(events, self.clock.now_s())
+        self.shared_view.operator_offset = newest.next_offset
         self.operators_known = True
         if changed:
-            self.changed("operators' records read")
+            self.on_change("operators' records read")
 
     def _replace_targets(self, newest: Newest) -> None:
         records = [decode_target_record(record) for record in newest.records]
         targets = [
             event.target
-            for event in self._readable(records)
+            for event in self._readable_events(records)
             if isinstance(event, TargetRegistered)
         ]
-        self.shared.target_offset = newest.next_offset
+        self.shared_view.target_offset = newest.next_offset
         self.targets_known = True
-        if self.shared.replace_targets(targets, self.clock.now_s()):
-            self.changed("targets read")
+        if self.shared_view.replace_targets(targets, self.clock.now_s()):
+            self.on_change("targets read")
 
     def _apply(self, events: Iterable) -> None:
-        readable = self._readable(events)
-        if self.shared.apply(readable, self.clock.now_s()):
-            self.changed("records applied")
+        readable = self._readable_events(events)
+        if self.shared_view.apply(readable, self.clock.now_s()):
+            self.on_change("records applied")
 
-    def _readable(self, events: Iterable) -> list[FleetEvent]:
+    def _readable_events(self, events: Iterable) -> list[FleetEvent]:
         readable = []
         for event in events:
             if isinstance(event, UnreadableRecord):
@@ -155,5 +157,7 @@
                 readable.append(event)
         return readable
 
-    def _count(self, outcome: Newest | Records | HistoryGone | StoreFailed) -> None:
+    def _count_call(
+        self, outcome: Newest | Records | HistoryGone | StoreFailed
+    ) -> None:
         STORE_CALLS.labels(type(outcome).__name__).inc()
--- a/packages/baobabring/baobabring/program/entry/_chooser.py
+++ b/packages/baobabring/baobabring/program/entry/_target_chooser.py
@@ -1,4 +1,4 @@
-"""Choice of the target that gets a call, by probes to several."""
+"""Choice of the target for a call, by probing several targets."""
 
 from baobabring.connections import ConnectionPool
 from baobabring.entry import (
@@ -11,18 +11,18 @@
     TargetRanker,
     TargetRecord,
 )
-from baobabring.program.entry._prober import ProbeAnswer, Prober
+from baobabring.program.entry._prober import Prober, ProbeResponse
 from baobabring.program.entry._progress import CallProgress
-from baobabring.program.entry._waiting import Assigned, WaitQueue, assign
+from baobabring.program.entry._wait_queue import Assignment, WaitQueue, assign
 from baobabring.utils import Clock
 
 PROBE_ROUNDS = 3
-# A call that has less time than this left is not worth a target's work.
-LEAST_TIME_LEFT_S = 0.005
+# A call with less time left is refused: it isn't worth a target's work.
+MIN_TIME_LEFT_S = 0.005
 
 
-class Chooser:
-    """Probe targets for a call, and let it wait when they are full."""
+class TargetChooser:
+    """Probe targets for a call, and queue it while they are full."""
 
     def __init__(
         self,
@@ -37,63 +37,65 @@
         self.budget = budget
         self.clock = clock
         self.prober = Prober(pool, clock)
-        self.waiting = WaitQueue(ranker, admission, self.prober, budget, clock)
+        self.wait_queue = WaitQueue(ranker, admission, self.prober, budget, clock)
 
-    async def choose(self, progress: CallProgress) -> Assigned | RefuseCall:
-        """Return the target that gets a call, or the decision to refuse it."""
+    async def choose(self, progress: CallProgress) -> Assignment | RefuseCall:
+        """Return the assignment of a call to a target, or the decision to refuse it."""
         call = progress.call
         now_s = self.clock.now_s()
-        if now_s + LEAST_TIME_LEFT_S >= call.deadline_s:
+        if now_s + MIN_TIME_LEFT_S >= call.deadline_s:
             return RefuseCall(now_s, CallProblem.TIMEOUT)
-        exclude = frozenset(progress.tried)
-        if not self.waiting.is_ahead_of(call):
-            decision = await self._probe_once(progress, exclude)
+        excluded_targets = frozenset(progress.tried)
+        if not self.wait_queue.has_calls_ahead_of(call):
+            decision = await self._probe_once(progress, excluded_targets)
             if not isinstance(decision, ProbeAgain):
                 return decision
-        return await self.waiting.wait(progress, exclude)
+        return await self.wait_queue.wait(progress, excluded_targets)
 
-    async def choose_hedge(self, progress: CallProgress) -> Assigned | None:
-        """Return a second target with a free slot, None if there is none to spare."""
-        if self.budget.is_scarce or self.waiting.is_ahead_of(progress.call):
+    async def choose_hedge(self, progress: CallProgress) -> Assignment | None:
+        """Return an assignment to a second target that has a free slot, else None."""
+        if self.budget.is_scarce or self.wait_queue.has_calls_ahead_of(progress.call):
             return None
         offers = progress.offers
         decision = await self._probe_once(progress, frozenset(progress.tried))
-        if isinstance(decision, Assigned) and decision.offer.has_free_slot:
+        if isinstance(decision, Assignment) and decision.offer.has_free_slot:
             return decision
-        # The call's log line tells the offers by which it was sent.
+        # The call's log line shows the offers by which the call was sent.
         progress.offers = offers
-        if isinstance(decision, Assigned):
-            self.prober.release(decision.answer)
+        if isinstance(decision, Assignment):
+            self.prober.release(decision.probe)
         return None
 
     async def _probe_once(
-        self, progress: CallProgress, exclude: frozenset[str]
-    ) -> Assigned | RefuseCall | ProbeAgain:
+        self, progress: CallProgress, excluded_targets: frozenset[str]
+    ) -> Assignment | RefuseCall | ProbeAgain:
         """Probe a few targets, and a few others if the first ones are full."""
-        answers: dict[str, ProbeAnswer] = {}
+        responses: dict[str, ProbeResponse] = {}
         try:
-            return await self._probe_until_decided(progress, exclude, answers)
+            return await self._probe_until_decided(
+                progress, excluded_targets, responses
+            )
         finally:
-            for left_over in answers.values():
-                self.prober.release(left_over)
+            for unused in responses.values():
+                self.prober.release(unused)
 
     async def _probe_until_decided(
         self,
         progress: CallProgress,
-        exclude: frozenset[str],
-        answers: dict[str, ProbeAnswer],
-    ) -> Assigned | RefuseCall | ProbeAgain:
+        excluded_targets: frozenset[str],
+        responses: dict[str, ProbeResponse],
+    ) -> Assignment | RefuseCall | ProbeAgain:
         call = progress.call
-        seen = set(exclude)
+        seen = set(excluded_targets)
         for round_number in range(1, PROBE_ROUNDS + 1):
             now_s = self.clock.now_s()
             wanted = self.ranker.settings.probed_targets
             count = self.budget.grant(wanted)
             records = self.ranker.targets_to_probe(call.service_id, seen, now_s, count)
-            await self._probe(progress, records, answers)
+            await self._probe(progress, records, responses)
             seen.update(record.target.target_id for record in records)
             now_s = self.clock.now_s()
-            reports = [answer.report for answer in answers.values()]
+            reports = [response.report for response in responses.values()]
             progress.offers = self.ranker.offers(call, reports, now_s)
             can_probe_others = (
                 round_number < PROBE_ROUNDS
@@ -106,7 +108,7 @@
             if isinstance(decision, SendCall):
                 target_id = decision.target_id
                 return assign(
-                    target_id, progress.offers, answers, self.ranker.target_table
+                    target_id, progress.offers, responses, self.ranker.target_table
                 )
             if isinstance(decision, RefuseCall) or not can_probe_others:
                 return decision
@@ -116,15 +118,15 @@
         self,
         progress: CallProgress,
         records: list[TargetRecord],
-        answers: dict[str, ProbeAnswer],
+        responses: dict[str, ProbeResponse],
     ) -> None:
         service = self.ranker.configuration.services.get(progress.call.service_id)
         if service is None or not records:
             return
         progress.probes += len(records)
-        for answer in await self.prober.probe(records, service.health_path):
-            answers[answer.report.target_id] = answer
-            if answer.report.load is not None:
+        for response in await self.prober.probe(records, service.health_path):
+            responses[response.report.target_id] = response
+            if response.report.load is not None:
                 self.ranker.estimates.record_slowdown(
-                    service.service_id, answer.report.load.slowdown
+                    service.service_id, response.report.load.slowdown
                 )
--- a/packages/baobabring/baobabring/program/entry/_view_task.py
+++ b/packages/baobabring/baobabring/program/entry/_view_task.py
@@ -1,4 +1,7 @@
-"""Keeping of the shared view: by reading the store, or by hearing from peers."""
+"""Updates of the shared view, by reading the store or by messages from peers.
+
+One instance, the reader, reads the store for the fleet and sends changes to the others.
+"""
 
 import asyncio
 import contextlib
@@ -22,56 +25,57 @@
 
 LOG = logbook.Logger("view")
 
-# A read on a connection that went silent is given up soon enough for a change to be
-# in force in time.
-OPERATOR_WAIT_MS = 1_500
-# Changes that follow one another quickly are read together.
-OPERATOR_PAUSE_S = 0.25
-RETRY_OPERATORS_S = 0.5
-# Peers may know the view, so an instance joins them before it reads the store.
+# Short enough that a change still takes effect in time after a read on a dead
+# connection has timed out.
+OPERATOR_READ_WAIT_MS = 1_500
+# Changes in quick succession are read together.
+OPERATOR_READ_PAUSE_S = 0.25
+OPERATOR_READ_RETRY_S = 0.5
+# Peers may send the view, so an instance joins them before it reads the store.
 JOIN_WAIT_S = 0.5
-REFRESH_INSTANCES_AFTER_S = 1.5
-# Sides that were cut off from each other for long find each other again within this.
-REFRESH_INSTANCES_EVERY_S = 45.0
-# A heartbeat this young tells that its sender has just read the store.
+INSTANCE_REFRESH_DELAY_S = 1.5
+# After a long network partition both sides discover each other again within this time.
+INSTANCE_REFRESH_INTERVAL_S = 45.0
+# The sender of a heartbeat whose view is younger than this has just read the store.
 FRESH_HEARTBEAT_MS = 200.0
-# A list of instances that is not the reader's serves for a while.
-LIST_REQUEST_PAUSE_S = 2.0
-# Without a reader that lives, whoever knows the view tells it to newcomers.
-SILENT_READER_S = 1.0
-IDLE_CHECK_S = 0.2
+# A list of instances that differs from the reader's is good enough for this long.
+LIST_REQUEST_INTERVAL_S = 2.0
+# If the reader is silent for this long, any instance that knows the view sends it to
+# joining ones.
+READER_TIMEOUT_S = 1.0
+READ_CHECK_INTERVAL_S = 0.2
 
 ViewListener = Callable[[], None]
 
 
 class ViewTask:
-    """Read the store when it is this instance's turn, and pass on what changed."""
+    """Read the store when this instance is the reader, and send changes to peers."""
 
     def __init__(
         self,
-        shared: SharedView,
+        shared_view: SharedView,
         schedule: ReadSchedule,
         store: StoreClient,
         link: PeerLink,
         peers: PeerTask,
         clock: Clock,
     ) -> None:
-        self.shared = shared
+        self.shared_view = shared_view
         self.schedule = schedule
         self.store = store
         self.link = link
         self.peers = peers
         self.clock = clock
         self._listeners: list[ViewListener] = []
-        self.reader = StoreReader(shared, store, self._changed, clock)
-        self._store_lost = False
-        self._list_due_at_s = 0.0
-        self._wake = asyncio.Event()
+        self.reader = StoreReader(shared_view, store, self._changed, clock)
+        self._store_unreachable = False
+        self._list_request_due_at_s = 0.0
+        self._wake_operator_reads = asyncio.Event()
         self._became_reader = asyncio.Event()
-        link.subscribe(ViewHeartbeat, self._heard_heartbeat)
-        link.subscribe(ViewState, self._heard_state)
-        link.subscribe(ViewDelta, self._heard_delta)
-        link.subscribe(ViewRequest, self._heard_request)
+        link.subscribe(ViewHeartbeat, self._on_heartbeat)
+        link.subscribe(ViewState, self._on_state)
+        link.subscribe(ViewDelta, self._on_delta)
+        link.subscribe(ViewRequest, self._on_request)
         peers.send_view = self._send_view
         peers.reader_is_silent = self._reader_is_silent
 
@@ -80,26 +84,26 @@
         self._listeners.append(listener)
 
     async def run(self) -> None:
-        """Keep the view until cancelled."""
+        """Update the view until cancelled."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self._keep_targets())
-            group.create_task(self._keep_operators())
-            group.create_task(self._refresh_instances())
+            group.create_task(self._run_target_reads())
+            group.create_task(self._run_operator_reads())
+            group.create_task(self._run_instance_refresh())
 
-    # Reading
+    # Reads of the store
 
-    async def _keep_targets(self) -> None:
+    async def _run_target_reads(self) -> None:
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self.peers.joined.wait(), JOIN_WAIT_S)
-        if self.peers.announcements.made_anew:
+        if self.peers.announcements.newly_announced:
             self.schedule.delay_first_read(self.clock.now_s())
         while True:
             now_s = self.clock.now_s()
-            if self.shared.tick(now_s):
+            if self.shared_view.tick(now_s):
                 self._changed("registrations expired")
             due_s = self.schedule.next_read_at_s()
             if due_s > now_s:
-                await asyncio.sleep(min(due_s - now_s, IDLE_CHECK_S))
+                await asyncio.sleep(min(due_s - now_s, READ_CHECK_INTERVAL_S))
                 continue
             await self._read_once()
 
@@ -112,141 +116,157 @@
         if failure is None:
             failure = await self.reader.read_targets()
         if failure is not None:
-            self._read_failed(failure)
+            self._on_read_failed(failure)
             return
-        self._store_regained("own read")
+        self._on_store_reachable("own read")
         self.schedule.record_read(started_at_s)
-        was_complete = self.shared.is_complete
-        self.shared.confirm(started_at_s)
-        if self.shared.is_complete and not was_complete:
+        was_complete = self.shared_view.is_complete
+        self.shared_view.confirm(started_at_s)
+        if self.shared_view.is_complete and not was_complete:
             self._changed("first read of the store")
         if not was_reader:
-            LOG.info("reads the store for all", view_age_s=self._age_s())
-            self._wake.set()
+            LOG.info("became store reader", view_age_s=self._view_age_s())
+            self._wake_operator_reads.set()
             self._became_reader.set()
-        self._tell_peers()
+        self._broadcast_view()
 
-    async def _keep_operators(self) -> None:
+    async def _run_operator_reads(self) -> None:
         while True:
-            reads = self.schedule.is_reader and not self._store_lost
-            if not reads or not self.reader.operators_known:
-                self._wake.clear()
+            can_read = self.schedule.is_reader and not self._store_unreachable
+            if not can_read or not self.reader.operators_known:
+                self._wake_operator_reads.clear()
                 with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(self._wake.wait(), RETRY_OPERATORS_S)
+                    await asyncio.wait_for(
+                        self._wake_operator_reads.wait(), OPERATOR_READ_RETRY_S
+                    )
                 continue
-            version = self.shared.version
-            failure = await self.reader.read_operators(OPERATOR_WAIT_MS)
+            version = self.shared_view.version
+            failure = await self.reader.read_operators(OPERATOR_READ_WAIT_MS)
             if failure is not None:
-                LOG.info("reading of changes failed", problem=failure.problem)
-                await asyncio.sleep(RETRY_OPERATORS_S)
+                LOG.info("reading operator records failed", problem=failure.problem)
+                await asyncio.sleep(OPERATOR_READ_RETRY_S)
                 continue
-            if self.shared.version != version:
-                self._tell_peers()
-            await asyncio.sleep(OPERATOR_PAUSE_S)
+            if self.shared_view.version != version:
+                self._broadcast_view()
+            await asyncio.sleep(OPERATOR_READ_PAUSE_S)
 
-    async def _refresh_instances(self) -> None:
-        """Learn, as the reader, of instances that announced themselves meanwhile.
+    async def _run_instance_refresh(self) -> None:
+        """Discover, as the reader, instances that announced themselves meanwhile.
 
-        Two readers that don't know each other would both go on reading.
+        Otherwise two readers that don't know each other would both continue to read.
         """
         while True:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(
-                    self._became_reader.wait(), REFRESH_INSTANCES_EVERY_S
+                    self._became_reader.wait(), INSTANCE_REFRESH_INTERVAL_S
                 )
                 self._became_reader.clear()
-                await asyncio.sleep(REFRESH_INSTANCES_AFTER_S)
+                await asyncio.sleep(INSTANCE_REFRESH_DELAY_S)
             if self.schedule.is_reader:
                 await self.peers.refresh()
 
-    def _read_failed(self, failure: StoreFailed) -> None:
-        if not self._store_lost:
-            self._store_lost = True
-            LOG.warning("store lost", problem=failure.problem, view_age_s=self._age_s())
-        self.store.pool.drop(self.store.address)
+    def _on_read_failed(self, failure: StoreFailed) -> None:
+        if not self._store_unreachable:
+            self._store_unreachable = True
+            LOG.warning(
+                "store became unreachable",
+                problem=failure.problem,
+                view_age_s=self._view_age_s(),
+            )
+        self.store.pool.close_idle_to(self.store.address)
         self.schedule.record_read_failure(self.clock.now_s())
 
-    def _store_regained(self, by: str) -> None:
-        if self._store_lost:
-            self._store_lost = False
-            LOG.info("store regained", by=by, view_age_s=self._age_s())
+    def _on_store_reachable(self, by: str) -> None:
+        if self._store_unreachable:
+            self._store_unreachable = False
+            LOG.info("store became reachable", by=by, view_age_s=self._view_age_s())
 
-    # Peers
+    # Messages of peers
 
-    def _tell_peers(self) -> None:
+    def _broadcast_view(self) -> None:
         now_s = self.clock.now_s()
-        delta = self.shared.delta(now_s)
+        delta = self.shared_view.delta(now_s)
         if delta is not None:
-            self.shared.mark_sent()
+            self.shared_view.mark_sent()
             self.link.broadcast(delta)
-        self.link.broadcast(self.shared.heartbeat(self.peers.status(), now_s))
+        self.link.broadcast(
+            self.shared_view.heartbeat(self.peers.build_status(), now_s)
+        )
 
-    def _heard_heartbeat(self, heartbeat: ViewHeartbeat) -> None:
+    def _on_heartbeat(self, heartbeat: ViewHeartbeat) -> None:
         now_s = self.clock.now_s()
-        needed = self._list_is_due(self.peers.heard_status(heartbeat), now_s)
-        needed |= self.shared.apply_heartbeat(heartbeat, now_s)
+        view_needed = self._is_list_request_due(
+            self.peers.apply_status(heartbeat), now_s
+        )
+        view_needed |= self.shared_view.apply_heartbeat(heartbeat, now_s)
         confirmed_at_s = now_s - heartbeat.age_ms / 1_000
         if heartbeat.age_ms < FRESH_HEARTBEAT_MS:
-            self._store_regained(heartbeat.sender)
+            self._on_store_reachable(heartbeat.sender)
         self.schedule.record_peer_read(heartbeat.sender, confirmed_at_s, now_s)
-        if needed:
-            request = ViewRequest(self.shared.instance_id, self.shared.address)
+        if view_needed:
+            request = ViewRequest(
+                self.shared_view.instance_id, self.shared_view.address
+            )
             self.link.send(heartbeat.address, request)
 
-    def _heard_state(self, state: ViewState) -> None:
+    def _on_state(self, state: ViewState) -> None:
         now_s = self.clock.now_s()
-        changed = self.shared.apply_state(state, now_s)
-        self.reader.goes_on_from_peers()
+        changed = self.shared_view.apply_state(state, now_s)
+        self.reader.resume_from_peer_offsets()
         confirmed_at_s = now_s - state.age_ms / 1_000
         self.schedule.record_peer_read(state.sender, confirmed_at_s, now_s)
-        self.shared.mark_sent()
-        self.peers.heard_list(state.instances)
-        self._list_due_at_s = now_s + LIST_REQUEST_PAUSE_S
+        self.shared_view.mark_sent()
+        self.peers.apply_instances(state.instances)
+        self._list_request_due_at_s = now_s + LIST_REQUEST_INTERVAL_S
         if changed:
             self._changed("view of a peer", peer=state.sender)
 
-    def _list_is_due(self, known: bool, now_s: float) -> bool:
-        """Tell whether to ask for the list of instances now."""
-        if known or now_s < self._list_due_at_s:
+    def _is_list_request_due(self, is_list_current: bool, now_s: float) -> bool:
+        """Return whether to request the list of instances now, and note the request."""
+        if is_list_current or now_s < self._list_request_due_at_s:
             return False
-        self._list_due_at_s = now_s + LIST_REQUEST_PAUSE_S
+        self._list_request_due_at_s = now_s + LIST_REQUEST_INTERVAL_S
         return True
 
-    def _heard_delta(self, delta: ViewDelta) -> None:
+    def _on_delta(self, delta: ViewDelta) -> None:
         now_s = self.clock.now_s()
-        changed = self.shared.apply_delta(delta, now_s)
+        changed = self.shared_view.apply_delta(delta, now_s)
         if changed is None:
-            # The heartbeat that follows tells where the whole view is to be had.
+            # The next heartbeat has the address to request the whole view from.
             return
-        if self.shared.is_complete:
-            self.reader.goes_on_from_peers()
-        self.shared.mark_sent()
+        if self.shared_view.is_complete:
+            self.reader.resume_from_peer_offsets()
+        self.shared_view.mark_sent()
         if changed:
             self._changed("change from a peer", peer=delta.sender)
 
-    def _heard_request(self, request: ViewRequest) -> None:
-        if self.shared.is_complete:
+    def _on_request(self, request: ViewRequest) -> None:
+        if self.shared_view.is_complete:
             self._send_state(request.reply_address)
 
     def _reader_is_silent(self) -> bool:
-        confirmed_at_s = self.shared.confirmed_at_s
+        confirmed_at_s = self.shared_view.confirmed_at_s
         if confirmed_at_s is None:
             return True
-        return self.clock.now_s() - confirmed_at_s > SILENT_READER_S
+        return self.clock.now_s() - confirmed_at_s > READER_TIMEOUT_S
 
     def _send_view(self, address: str) -> None:
-        """Tell the view to an instance that has just started."""
-        if self.shared.is_complete:
+        """Send the view to an instance that has just started."""
+        if self.shared_view.is_complete:
             self._send_state(address)
-            status = self.peers.status_told()
-            self.link.send(address, self.shared.heartbeat(status, self.clock.now_s()))
+            status = self.peers.published_status()
+            self.link.send(
+                address, self.shared_view.heartbeat(status, self.clock.now_s())
+            )
 
     def _send_state(self, address: str) -> None:
-        state = self.shared.state(self.peers.list_told(), self.clock.now_s())
+        state = self.shared_view.state(
+            self.peers.published_instances(), self.clock.now_s()
+        )
         self.link.send(address, state)
 
     def _changed(self, cause: str, peer: str | None = None) -> None:
-        view = self.shared.view
+        view = self.shared_view.view
         LOG.info(
             "view changed",
             cause=cause,
@@ -255,15 +275,15 @@
             targets=len(view.targets),
             draining=sum(target.draining for target in view.targets.values()),
             zones_out=sorted(view.zones_out),
-            operator_offset=self.shared.operator_offset,
-            target_offset=self.shared.target_offset,
-            view_age_s=self._age_s(),
+            operator_offset=self.shared_view.operator_offset,
+            target_offset=self.shared_view.target_offset,
+            view_age_s=self._view_age_s(),
         )
         for listener in self._listeners:
             listener()
 
-    def _age_s(self) -> float | None:
-        confirmed_at_s = self.shared.confirmed_at_s
+    def _view_age_s(self) -> float | None:
+        confirmed_at_s = self.shared_view.confirmed_at_s
         if confirmed_at_s is None:
             return None
         return round(self.clock.now_s() - confirmed_at_s, 3)
--- a/packages/baobabring/baobabring/program/entry/_waiting.py
+++ b/packages/baobabring/baobabring/program/entry/_wait_queue.py
@@ -1,4 +1,4 @@
-"""Calls that wait for a slot, and the probes sent for all of them."""
+"""Queue of calls that wait for a slot, with shared rounds of probes."""
 
 import asyncio
 from collections.abc import Sequence
@@ -16,44 +16,45 @@
     TargetRecord,
     TargetTable,
 )
-from baobabring.program.entry._prober import ProbeAnswer, Prober
+from baobabring.program.entry._prober import Prober, ProbeResponse
 from baobabring.program.entry._progress import CallProgress
 from baobabring.utils import Clock
 
-# Between two rounds of probes about as much time passes as a slot's change takes
-# to matter.
+# About the time after which a change of a target's free slots makes a difference.
 ROUND_INTERVAL_S = 0.012
 SCARCE_ROUND_INTERVAL_S = 0.04
 PROBES_PER_WAITING_CALL = 2
 
 
 @dataclass(frozen=True, slots=True)
-class Assigned:
-    """Give a call to a target on the connection on which that was probed."""
+class Assignment:
+    """Assign a call to a target, on the connection that the target was probed on."""
 
     record: TargetRecord
-    answer: ProbeAnswer
+    probe: ProbeResponse
     offer: Offer
 
 
 def assign(
     target_id: str,
     offers: Sequence[Offer],
-    answers: dict[str, ProbeAnswer],
+    responses: dict[str, ProbeResponse],
     target_table: TargetTable,
-) -> Assigned:
-    """Give a call to a target, and take that one's answer out of the others."""
+) -> Assignment:
+    """Return the assignment to a target and remove its response from `responses`."""
     offer = next(offer for offer in offers if offer.target_id == target_id)
-    return Assigned(target_table.get_record(target_id), answers.pop(target_id), offer)
+    return Assignment(
+        target_table.get_record(target_id), responses.pop(target_id), offer
+    )
 
 
 @dataclass(slots=True, eq=False)
 class Waiter:
-    """Hold a call that waits and the future that ends its wait."""
+    """Represent a waiting call and the future of the decision about it."""
 
     progress: CallProgress
-    exclude: frozenset[str]
-    decision: asyncio.Future[Assigned | RefuseCall]
+    excluded_targets: frozenset[str]
+    decision: asyncio.Future[Assignment | RefuseCall]
     order: tuple[int, float] = field(init=False)
 
     def __post_init__(self) -> None:
@@ -62,9 +63,9 @@
 
 
 class WaitQueue:
-    """Probe targets in rounds for all calls of a service that wait.
+    """Probe targets in rounds for all waiting calls of a service.
 
-    More urgent calls choose first in each round, then earlier ones.
+    In each round calls are decided in the order of their priority, then of arrival.
     """
 
     def __init__(
@@ -83,21 +84,21 @@
         self._waiters: dict[str, list[Waiter]] = {}
         self._rounds: dict[str, asyncio.Task] = {}
 
-    def is_ahead_of(self, call: EntryCall) -> bool:
-        """Tell whether calls wait that are as urgent as this one or more."""
+    def has_calls_ahead_of(self, call: EntryCall) -> bool:
+        """Return whether calls of the same or a more urgent priority are waiting."""
         return any(
             waiter.progress.call.route.priority <= call.route.priority
             for waiter in self._waiters.get(call.service_id, ())
         )
 
     async def wait(
-        self, progress: CallProgress, exclude: frozenset[str]
-    ) -> Assigned | RefuseCall:
-        """Wait for a slot, or for the decision to refuse the call."""
+        self, progress: CallProgress, excluded_targets: frozenset[str]
+    ) -> Assignment | RefuseCall:
+        """Wait until the call is assigned to a target or refused, and return which."""
         call = progress.call
         progress.waited = True
         decision = asyncio.get_running_loop().create_future()
-        waiter = Waiter(progress, exclude, decision)
+        waiter = Waiter(progress, excluded_targets, decision)
         waiters = self._waiters.setdefault(call.service_id, [])
         waiters.append(waiter)
         waiters.sort(key=lambda waiter: waiter.order)
@@ -108,15 +109,15 @@
             return await decision
         except asyncio.CancelledError:
             if decision.done() and not decision.cancelled():
-                self._return_assigned(decision.result())
+                self._release_assignment(decision.result())
             raise
         finally:
             if waiter in waiters:
                 waiters.remove(waiter)
 
-    def _return_assigned(self, decided: Assigned | RefuseCall) -> None:
-        if isinstance(decided, Assigned):
-            self.prober.release(decided.answer)
+    def _release_assignment(self, decided: Assignment | RefuseCall) -> None:
+        if isinstance(decided, Assignment):
+            self.prober.release(decided.probe)
 
     async def _probe_in_rounds(self, service_id: str) -> None:
         waiters = self._waiters[service_id]
@@ -132,27 +133,27 @@
     async def _probe_round(self, service_id: str, waiters: list[Waiter]) -> None:
         now_s = self.clock.now_s()
         service = self.ranker.configuration.services.get(service_id)
-        answers: dict[str, ProbeAnswer] = {}
+        responses: dict[str, ProbeResponse] = {}
         if service is not None:
             wanted = len(waiters) * PROBES_PER_WAITING_CALL
             wanted = max(wanted, self.ranker.settings.probed_targets)
             granted = self.budget.grant(wanted)
             records = self.ranker.targets_to_probe(service_id, (), now_s, granted)
-            answers = await self.prober.probe(records, service.health_path)
-            answers = {answer.report.target_id: answer for answer in answers}
+            responses = await self.prober.probe(records, service.health_path)
+            responses = {response.report.target_id: response for response in responses}
         for waiter in list(waiters):
             if not waiter.decision.done():
-                self._decide(waiter, answers)
+                self._decide(waiter, responses)
         waiters[:] = [waiter for waiter in waiters if not waiter.decision.done()]
-        for left_over in answers.values():
-            self.prober.release(left_over)
+        for unused in responses.values():
+            self.prober.release(unused)
 
-    def _decide(self, waiter: Waiter, answers: dict[str, ProbeAnswer]) -> None:
+    def _decide(self, waiter: Waiter, responses: dict[str, ProbeResponse]) -> None:
         now_s = self.clock.now_s()
         reports = [
-            answer.report
-            for answer in answers.values()
-            if answer.report.target_id not in waiter.exclude
+            response.report
+            for response in responses.values()
+            if response.report.target_id not in waiter.excluded_targets
         ]
         call = waiter.progress.call
         offers = self.ranker.offers(call, reports, now_s)
@@ -162,7 +163,7 @@
             return
         if isinstance(decision, SendCall):
             target_id = decision.target_id
-            assigned = assign(target_id, offers, answers, self.ranker.target_table)
+            assigned = assign(target_id, offers, responses, self.ranker.target_table)
             waiter.decision.set_result(assigned)
             return
         waiter.decision.set_result(decision)
--- a/packages/baobabring/baobabring/program/entry/tests/fakes.py
+++ b/packages/baobabring/baobabring/program/entry/tests/fakes.py
@@ -1,8 +1,8 @@
-"""Stand-ins that several tests use."""
+"""Fakes shared by several tests."""
 
 
 class StepClock:
-    """Stand in for the clock; tests set the time."""
+    """Fake clock whose time tests set."""
 
     def __init__(self) -> None:
         self.at_s = 100.0
--- a/packages/baobabring/baobabring/program/entry/tests/test_announcements.py
+++ b/packages/baobabring/baobabring/program/entry/tests/test_announcements.py
@@ -14,7 +14,7 @@
 
 
 class MemoryStore:
-    """Stand in for the store with one topic, and fail as told."""
+    """Fake store with one topic, which fails while `failure` is set."""
 
     def __init__(self) -> None:
         self.values: dict[str, bytes] = {}
@@ -29,7 +29,7 @@
         return Newest(tuple(records), len(records))
 
     async def put(self, topic: str, key: str, value: bytes) -> StoreFailed | None:
-        """Keep a record, or drop its key without a value."""
+        """Store a record, or delete its key if the value is empty."""
         if self.failure is not None:
             return self.failure
         self.puts.append(key)
@@ -53,24 +53,24 @@
 
 @pytest.fixture
 def announcements(store, clock) -> Announcements:
-    """Return the announcements as the instance `i-0` sees them."""
+    """Return the announcements of the instance `i-0`."""
     return Announcements("i-0", OWN_ADDRESS, store, clock)
 
 
 async def test_instance_announces_itself_once(announcements, store):
     for _ in range(2):
-        await announcements.make(await announcements.read())
+        await announcements.announce(await announcements.read())
     assert store.puts == ["i-0"]
     assert await announcements.read() == {"i-0": OWN_ADDRESS}
 
 
-async def test_instance_that_moved_announces_itself_anew(announcements, store):
+async def test_instance_with_new_address_announces_itself_again(announcements, store):
     store.values["i-0"] = b"10.0.0.9:1"
-    await announcements.make(await announcements.read())
+    await announcements.announce(await announcements.read())
     assert await announcements.read() == {"i-0": OWN_ADDRESS}
 
 
-async def test_only_those_unheard_for_long_are_removed(announcements, store, clock):
+async def test_only_instances_silent_for_long_are_removed(announcements, store, clock):
     announced = {"i-0": OWN_ADDRESS, "i-1": "10.0.0.1:1", "i-2": "10.0.0.2:1"}
     await announcements.remove_stale(announced, {"i-0", "i-1"})
     clock.at_s += STALE_AFTER_S / 2
@@ -81,7 +81,7 @@
     assert store.puts == ["i-2"]
 
 
-async def test_instance_heard_in_between_stays(announcements, store, clock):
+async def test_instance_live_in_between_is_kept(announcements, store, clock):
     announced = {"i-0": OWN_ADDRESS, "i-1": "10.0.0.1:1"}
     for live in ({"i-0"}, {"i-0", "i-1"}, {"i-0"}):
         await announcements.remove_stale(announced, live)
@@ -89,7 +89,7 @@
     assert store.puts == []
 
 
-async def test_many_stale_ones_are_removed_a_few_at_a_time(announcements, store, clock):
+async def test_stale_instances_are_removed_a_few_per_read(announcements, store, clock):
     announced = {f"i-{n}": "10.0.0.1:1" for n in range(100)}
     await announcements.remove_stale(announced, ())
     clock.at_s += STALE_AFTER_S
@@ -97,6 +97,6 @@
     assert len(store.puts) == REMOVALS_PER_READ
 
 
-async def test_failed_read_is_told(announcements, store):
+async def test_failed_read_returns_failure(announcements, store):
     store.failure = StoreFailed("away")
     assert await announcements.read() == store.failure
--- a/packages/baobabring/baobabring/program/entry/tests/test_caller_protocol.py
+++ b/packages/baobabring/baobabring/program/entry/tests/test_caller_protocol.py
@@ -1,4 +1,4 @@
-"""Test the bounds on what a caller's connection may take."""
+"""Test the limits on a caller's connection."""
 
 import asyncio
 
@@ -9,13 +9,13 @@
 LIMIT_BYTES = 500
 TIMEOUT_S = 0.3
 IDLE_S = 1
-ANSWER_AFTER_S = 0.2
+RESPONSE_DELAY_S = 0.2
 WAIT_S = 3.0
 REQUEST = b"GET /a HTTP/1.1\r\nhost: x\r\n\r\n"
 
 
 class SlowApp:
-    """Answer each request after a while and count them."""
+    """Application that responds to each request after a delay and counts requests."""
 
     def __init__(self) -> None:
         self.served = 0
@@ -23,7 +23,7 @@
     async def __call__(self, scope, receive, send) -> None:
         """Serve one request."""
         self.served += 1
-        await asyncio.sleep(ANSWER_AFTER_S)
+        await asyncio.sleep(RESPONSE_DELAY_S)
         headers = [(b"content-length", b"2")]
         await send({"type": "http.response.start", "status": 200, "headers": headers})
         await send({"type": "http.response.body", "body": b"ok"})
@@ -51,11 +51,11 @@
 
 
 async def read_all(reader) -> bytes:
-    """Return what comes until the server closes."""
+    """Return all data until the server closes the connection."""
     return await asyncio.wait_for(reader.read(), WAIT_S)
 
 
-async def test_headers_within_the_limits_are_served(connection, app):
+async def test_request_with_headers_within_limits_is_served(connection, app):
     reader, writer = connection
     writer.write(REQUEST[:10])
     await asyncio.sleep(TIMEOUT_S / 2)
@@ -64,7 +64,7 @@
     assert app.served == 1
 
 
-async def test_too_large_headers_are_refused_and_run_nowhere(connection, app):
+async def test_too_large_headers_are_refused_and_not_served(connection, app):
     reader, writer = connection
     writer.write(REQUEST[:-2] + b"x-long: " + b"x" * LIMIT_BYTES + b"\r\n\r\n")
     assert (await read_all(reader)).startswith(b"HTTP/1.1 431")
@@ -78,16 +78,16 @@
     assert app.served == 0
 
 
-async def test_connection_on_which_nothing_comes_is_closed(connection):
+async def test_connection_without_request_is_closed(connection):
     reader, _ = connection
     assert await read_all(reader) == b""
 
 
 @pytest.mark.parametrize("second", [b"broken\r\n\r\n", REQUEST[:-2]])
-async def test_nothing_is_written_into_an_answer_under_way(connection, second):
+async def test_refusal_is_not_written_into_response_in_progress(connection, second):
     reader, writer = connection
     writer.write(REQUEST + second)
-    answer = await read_all(reader)
-    assert answer.startswith(b"HTTP/1.1 200")
-    assert answer.count(b"HTTP/1.1") == 1 + (second == REQUEST[:-2])
-    assert answer.split(b"\r\n\r\n")[1].startswith(b"ok")
+    response = await read_all(reader)
+    assert response.startswith(b"HTTP/1.1 200")
+    assert response.count(b"HTTP/1.1") == 1 + (second == REQUEST[:-2])
+    assert response.split(b"\r\n\r\n")[1].startswith(b"ok")
--- a/packages/baobabring/baobabring/program/entry/tests/test_waiting.py
+++ b/packages/baobabring/baobabring/program/entry/tests/test_wait_queue.py
@@ -1,4 +1,4 @@
-"""Test who gets a slot among calls that wait: overload with urgent and other calls."""
+"""Test which waiting call gets a slot under overload with calls of all priorities."""
 
 import asyncio
 from random import Random
@@ -22,32 +22,32 @@
     build_route,
     build_target,
 )
-from baobabring.program.entry._prober import ProbeAnswer
+from baobabring.program.entry._prober import ProbeResponse
 from baobabring.program.entry._progress import CallProgress
-from baobabring.program.entry._waiting import WaitQueue
+from baobabring.program.entry._wait_queue import WaitQueue
 
 
 class LoopClock:
-    """Stand in for the clock with the loop's time."""
+    """Clock with the time of the event loop."""
 
     def now_s(self) -> float:
         """Return the loop's time."""
         return asyncio.get_running_loop().time()
 
 
-class ScriptedProber:
-    """Stand in for the prober; the one target is full until told otherwise."""
+class FakeProber:
+    """Fake prober whose targets are full until `free` is set."""
 
     def __init__(self) -> None:
         self.free = False
         self.released = 0
 
     async def probe(self, records, health_path):
-        """Answer for each target."""
+        """Return a response of each target."""
         running = 0 if self.free else 2
         waiting = 0 if self.free else 12
         return [
-            ProbeAnswer(
+            ProbeResponse(
                 build_report(
                     record.target.target_id,
                     running,
@@ -60,14 +60,14 @@
             for record in records
         ]
 
-    def release(self, answer) -> None:
-        """Count answers that were not used."""
+    def release(self, response) -> None:
+        """Count the unused responses."""
         self.released += 1
 
 
 @pytest.fixture
 def queue():
-    """Return a queue on one target with two slots."""
+    """Return a wait queue for one target with two slots."""
     target_table = TargetTable("i-1", "north")
     target_table.set_targets([build_target()], (), 0.0)
     rng = Random(1)
@@ -81,29 +81,31 @@
     )
     ranker.configuration = build_configuration()
     budget = ProbeRateBudget(60.0)
-    return WaitQueue(ranker, Admission(rng), ScriptedProber(), budget, LoopClock())
+    return WaitQueue(ranker, Admission(rng), FakeProber(), budget, LoopClock())
 
 
 def progress(priority: int) -> CallProgress:
-    """Return a call of a priority that has just arrived."""
+    """Return the progress of a call that has just arrived."""
     route = build_route(priority=priority, latency_goal_ms=2_000.0)
     now_s = asyncio.get_running_loop().time()
     return CallProgress(build_call(route, now_s, wait_s=5.0))
 
 
-async def test_urgent_call_that_came_later_gets_the_slot_first(queue):
-    patient = asyncio.ensure_future(queue.wait(progress(2), frozenset()))
+async def test_urgent_call_that_arrived_later_gets_slot_first(queue):
+    not_urgent = asyncio.ensure_future(queue.wait(progress(2), frozenset()))
     await asyncio.sleep(0.03)
     urgent = asyncio.ensure_future(queue.wait(progress(0), frozenset()))
     await asyncio.sleep(0.03)
-    assert not patient.done() and not urgent.done()
+    assert not not_urgent.done() and not urgent.done()
     queue.prober.free = True
-    done, _ = await asyncio.wait([patient, urgent], return_when=asyncio.FIRST_COMPLETED)
+    done, _ = await asyncio.wait(
+        [not_urgent, urgent], return_when=asyncio.FIRST_COMPLETED
+    )
     assert done == {urgent}
-    await patient
+    await not_urgent
 
 
-async def test_refusal_after_a_wait_keeps_the_offers_that_decided_it(queue):
+async def test_progress_keeps_offers_after_refusal_of_waiting_call(queue):
     waiting = progress(2)
     decision = await queue.wait(waiting, frozenset())
     assert isinstance(decision, RefuseCall)
@@ -112,10 +114,10 @@
     assert not waiting.offers[0].has_free_slot
 
 
-async def test_caller_that_leaves_takes_its_place_away(queue):
+async def test_cancelled_call_is_removed_from_queue(queue):
     waiting = asyncio.ensure_future(queue.wait(progress(1), frozenset()))
     await asyncio.sleep(0.03)
-    assert queue.is_ahead_of(progress(2).call)
+    assert queue.has_calls_ahead_of(progress(2).call)
     waiting.cancel()
     await asyncio.wait([waiting])
-    assert not queue.is_ahead_of(progress(2).call)
+    assert not queue.has_calls_ahead_of(progress(2).call)
--- a/packages/baobabstandins/baobabstandins/usersplatform/tests/test_entry_fleet.py
+++ b/packages/baobabstandins/baobabstandins/usersplatform/tests/test_entry_fleet.py
@@ -58,7 +58,7 @@
 
 def became_reader_at_s(instance):
     """Return when an instance last began to read the store for all; 0 if never."""
-    lines = instance.log_lines("reads the store for all")
+    lines = instance.log_lines("became store reader")
     return max((line["at_s"] for line in lines), default=0.0)
 
 
@@ -224,7 +224,7 @@
     async with asyncio.timeout(10):
         while True:
             for instance in fleet.instances:
-                if instance.log_lines("reads the store for all"):
+                if instance.log_lines("became store reader"):
                     return instance
             await asyncio.sleep(0.05)
 
@@ -255,7 +255,7 @@
     await fleet.wait_ready()
     for instance in fleet.instances:
         started = instance.log_lines("started")[-1]["at_s"]
-        ready = instance.log_lines("readiness")[-1]["at_s"]
+        ready = instance.log_lines("readiness changed")[-1]["at_s"]
         assert ready - started < 1.5
 
 
@@ -321,11 +321,11 @@
     instance.settings_path.write_text(text.replace('"6s"', '"six"'))
     instance.send(signal.SIGHUP)
     await asyncio.sleep(0.3)
-    (failed, *_) = instance.log_lines("reload failed")
+    (failed, *_) = instance.log_lines("settings reload failed")
     assert "terms.bounds.grace" in failed["problems"][0]
     instance.settings_path.write_text(text.replace('"6s"', '"5s"'))
     await asyncio.sleep(2.0)
-    assert instance.log_lines("reload")[-1]["changed"]
+    assert instance.log_lines("settings reloaded")[-1]["changed"]
     assert await fleet.is_ready(instance)
 
 
