--- a/packages/baobabring/baobabring/callers/__init__.py
+++ b/packages/baobabring/baobabring/callers/__init__.py
@@ -1,18 +1,18 @@
-"""HTTP towards callers."""
+"""HTTP server for callers."""
 
-from baobabring.callers._answers import CallResult, outcome_name
 from baobabring.callers._app import CallHandler, create_app
 from baobabring.callers._requests import (
-    BadCall,
     CallerConnectionMiddleware,
+    RejectedRequest,
     encoded_path,
     has_body,
     read_body,
 )
+from baobabring.callers._responses import CallResult, outcome_name
 from baobabring.callers._server import create_server_config
 
 __all__ = [
-    "BadCall",
+    "RejectedRequest",
     "CallHandler",
     "CallResult",
     "CallerConnectionMiddleware",
--- a/packages/baobabring/baobabring/callers/_app.py
+++ b/packages/baobabring/baobabring/callers/_app.py
@@ -1,4 +1,4 @@
-"""HTTP application that callers reach."""
+"""HTTP application for callers, health checks and metrics."""
 
 import asyncio
 from abc import ABC, abstractmethod
@@ -7,57 +7,57 @@
 import falcon.asgi
 import prometheus_client
 
-from baobabring.callers._answers import CallResult, write_answer
 from baobabring.callers._requests import (
     BODY_TIMEOUT_S,
-    BadCall,
     CallerConnectionMiddleware,
+    RejectedRequest,
     build_call,
     has_body,
     read_body,
 )
+from baobabring.callers._responses import CallResult, write_response
 from baobabring.calls import Router
 from baobabring.model import Call, NotRun, Reason
 
 
 class CallHandler(ABC):
-    """Carry calls to their outcomes."""
+    """Start calls and report the state of the instance."""
 
     @abstractmethod
-    def router(self) -> Router:
-        """Return the router of the configuration in force."""
+    def get_router(self) -> Router:
+        """Return the router of the current configuration."""
 
     @abstractmethod
-    def new_call_id(self) -> str:
-        """Return an id that no other call of the fleet has."""
+    def create_call_id(self) -> str:
+        """Return an id that is unique in the fleet."""
 
     @abstractmethod
     def submit(self, call: Call) -> asyncio.Future[CallResult]:
-        """Start a call; the future ends with its outcome."""
+        """Start a call and return a future of its result."""
 
     @abstractmethod
-    def caller_left(self, call_id: str) -> None:
-        """Take in that a caller has gone away."""
+    def on_caller_disconnect(self, call_id: str) -> None:
+        """Handle the disconnect of a caller."""
 
     @abstractmethod
     def now_s(self) -> float:
-        """Return the time by which calls are measured."""
+        """Return the current time of the clock that call deadlines refer to."""
 
     @abstractmethod
-    def knows_services(self) -> bool:
-        """Tell whether a service that isn't known here doesn't exist."""
+    def is_configuration_confirmed(self) -> bool:
+        """Return whether the configuration is confirmed and so lists every service."""
 
     @abstractmethod
-    def leaving(self) -> bool:
-        """Tell whether this instance is shutting down."""
+    def is_shutting_down(self) -> bool:
+        """Return whether this instance is shutting down."""
 
     @abstractmethod
-    def ready(self) -> bool:
-        """Tell whether the platform's balancer should send calls here."""
+    def is_ready(self) -> bool:
+        """Return whether the platform's load balancer should send calls here."""
 
 
 class CallSink:
-    """Serve every path that isn't our own."""
+    """Serve the requests of callers on all paths but the instance's own."""
 
     def __init__(self, handler: CallHandler, body_limit_bytes: int) -> None:
         self.handler = handler
@@ -67,90 +67,94 @@
         self, request: falcon.asgi.Request, response: falcon.asgi.Response
     ) -> None:
         """Serve one request."""
-        call_id = self.handler.new_call_id()
+        call_id = self.handler.create_call_id()
         call = await self._read_call(request, call_id)
-        if isinstance(call, BadCall):
-            self._write_bad_call(response, call_id, call)
+        if isinstance(call, RejectedRequest):
+            self._write_rejection(response, call_id, call)
             return
         future = self.handler.submit(call)
         if not future.done():
-            await self._wait(request, future, call_id)
-        write_answer(response, future.result(), self.handler.now_s())
-        if self.handler.leaving():
+            await self._wait_for_result(request, future, call_id)
+        write_response(response, future.result(), self.handler.now_s())
+        if self.handler.is_shutting_down():
             response.set_header("Connection", "close")
 
     async def _read_call(
         self, request: falcon.asgi.Request, call_id: str
-    ) -> Call | BadCall:
-        body: bytes | BadCall | None = b""
+    ) -> Call | RejectedRequest:
+        body: bytes | RejectedRequest | None = b""
         if has_body(request):
             try:
                 async with asyncio.timeout(BODY_TIMEOUT_S):
                     body = await read_body(request, self.body_limit_bytes)
             except TimeoutError:
-                return BadCall(Reason.BAD_REQUEST, "the body came too slowly")
+                return RejectedRequest(Reason.BAD_REQUEST, "the body came too slowly")
         if body is None:
-            return BadCall(Reason.CALLER_LEFT, "the caller left")
-        if isinstance(body, BadCall):
+            return RejectedRequest(Reason.CALLER_LEFT, "the caller left")
+        if isinstance(body, RejectedRequest):
             return body
-        router = self.handler.router()
+        router = self.handler.get_router()
         call = build_call(request, body, router, call_id, self.handler.now_s())
-        unknown_here = isinstance(call, BadCall) and call.reason is Reason.NO_SERVICE
-        if unknown_here and not self.handler.knows_services():
-            return BadCall(Reason.NOT_CONFIRMED, "no configuration is known yet")
+        service_unknown = (
+            isinstance(call, RejectedRequest) and call.reason is Reason.NO_SERVICE
+        )
+        if service_unknown and not self.handler.is_configuration_confirmed():
+            return RejectedRequest(
+                Reason.NOT_CONFIRMED, "no configuration is known yet"
+            )
         return call
 
-    async def _wait(
+    async def _wait_for_result(
         self,
         request: falcon.asgi.Request,
         future: asyncio.Future[CallResult],
         call_id: str,
     ) -> None:
         connection = request.scope[CallerConnectionMiddleware.SCOPE_KEY]
-        leaving = asyncio.ensure_future(connection.wait_left())
-        leaving.add_done_callback(
-            lambda task: task.cancelled() or self.handler.caller_left(call_id)
+        disconnect = asyncio.ensure_future(connection.wait_for_disconnect())
+        disconnect.add_done_callback(
+            lambda task: task.cancelled() or self.handler.on_caller_disconnect(call_id)
         )
         try:
             await future
         finally:
-            leaving.cancel()
+            disconnect.cancel()
 
-    def _write_bad_call(
-        self, response: falcon.asgi.Response, call_id: str, bad: BadCall
+    def _write_rejection(
+        self, response: falcon.asgi.Response, call_id: str, rejected: RejectedRequest
     ) -> None:
         now_s = self.handler.now_s()
-        result = CallResult(call_id, NotRun(bad.reason, now_s))
-        write_answer(response, result, now_s)
-        response.media = {**response.media, "problem": bad.problem}
+        result = CallResult(call_id, NotRun(rejected.reason, now_s))
+        write_response(response, result, now_s)
+        response.media = {**response.media, "problem": rejected.problem}
 
 
 class HealthResource:
-    """Tell that the process runs."""
+    """Serve the health check, which succeeds while the process runs."""
 
     async def on_get(self, request, response) -> None:
-        """Answer with 200."""
+        """Respond with 200."""
         response.media = {"healthy": True}
 
 
 class ReadyResource:
-    """Tell the platform's balancer whether to send calls."""
+    """Serve the readiness check of the platform's load balancer."""
 
     def __init__(self, handler: CallHandler) -> None:
         self.handler = handler
 
     async def on_get(self, request, response) -> None:
-        """Answer with 200 or 503."""
-        ready = self.handler.ready()
+        """Respond with 200 if the instance is ready, else with 503."""
+        ready = self.handler.is_ready()
         response.status = falcon.HTTP_200 if ready else falcon.HTTP_503
         response.media = {"ready": ready}
 
 
 class MetricsResource:
-    """Show the metrics."""
+    """Serve the metrics."""
 
     async def on_get(self, request, response) -> None:
-        """Answer in the text format of Prometheus."""
+        """Respond in the text format of Prometheus."""
         response.content_type = prometheus_client.CONTENT_TYPE_LATEST
         response.data = prometheus_client.generate_latest()
 
--- a/packages/baobabring/baobabring/callers/_requests.py
+++ b/packages/baobabring/baobabring/callers/_requests.py
@@ -1,4 +1,4 @@
-"""Reading and checking of callers' requests."""
+"""Reading and validation of callers' requests."""
 
 from dataclasses import dataclass
 
@@ -14,36 +14,36 @@
 TENANT_HEADER = "Baobab-Tenant"
 
 DEFAULT_TENANT = "default"
-TENANT_LIMIT_CHARACTERS = 64
+MAX_TENANT_CHARACTERS = 64
 MS_PER_S = 1_000
 BODY_TIMEOUT_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
-class BadCall:
-    """Say why a request can't become a call."""
+class RejectedRequest:
+    """Represent the reason why a request is rejected before it becomes a call."""
 
     reason: Reason
     problem: str
 
 
 class CallerConnection:
-    """Wrap a request's ASGI receive channel and notice when the caller leaves."""
+    """Wrap a request's ASGI receive channel and record the caller's disconnect."""
 
     def __init__(self, receive) -> None:
         self._receive = receive
-        self.left = False
+        self.disconnected = False
 
     async def receive(self):
-        """Pass the next event on."""
+        """Return the next event."""
         event = await self._receive()
         if event["type"] == "http.disconnect":
-            self.left = True
+            self.disconnected = True
         return event
 
-    async def wait_left(self) -> None:
-        """Return when the caller has left."""
-        while not self.left:
+    async def wait_for_disconnect(self) -> None:
+        """Wait until the caller has disconnected."""
+        while not self.disconnected:
             await self.receive()
 
 
@@ -66,7 +66,7 @@
 
 
 def has_body(request: falcon.asgi.Request) -> bool:
-    """Tell whether a request announces a body."""
+    """Return whether the headers of a request declare a body."""
     if request.content_length is None:
         return request.get_header("Transfer-Encoding") is not None
     return request.content_length > 0
@@ -74,16 +74,20 @@
 
 async def read_body(
     request: falcon.asgi.Request, limit_bytes: int
-) -> bytes | BadCall | None:
-    """Return the whole body, why it can't be taken, or None if the caller left."""
+) -> bytes | RejectedRequest | None:
+    """Return the body, why it is rejected, or None if the caller disconnected."""
     declared_bytes = request.content_length
     if declared_bytes is not None and declared_bytes > limit_bytes:
-        return BadCall(Reason.TOO_LARGE, f"the body exceeds {limit_bytes} bytes")
+        return RejectedRequest(
+            Reason.TOO_LARGE, f"the body exceeds {limit_bytes} bytes"
+        )
     body = await request.stream.read(limit_bytes + 1)
-    if request.scope[CallerConnectionMiddleware.SCOPE_KEY].left:
+    if request.scope[CallerConnectionMiddleware.SCOPE_KEY].disconnected:
         return None
     if len(body) > limit_bytes:
-        return BadCall(Reason.TOO_LARGE, f"the body exceeds {limit_bytes} bytes")
+        return RejectedRequest(
+            Reason.TOO_LARGE, f"the body exceeds {limit_bytes} bytes"
+        )
     return body
 
 
@@ -93,37 +97,39 @@
     router: Router,
     call_id: str,
     now_s: float,
-) -> Call | BadCall:
-    """Return the call that a request asks for, or what is wrong with it."""
+) -> Call | RejectedRequest:
+    """Return the call that a request asks for, or why it is rejected."""
     path = request.path
     if ".." in path.split("/") or "//" in path:
-        return BadCall(Reason.BAD_REQUEST, f"path {path!r} is not in normal form")
+        return RejectedRequest(
+            Reason.BAD_REQUEST, f"path {path!r} is not in normal form"
+        )
     route = router.route(request.method, path)
     if route is None:
-        return BadCall(Reason.NO_SERVICE, f"no service has the path {path!r}")
+        return RejectedRequest(Reason.NO_SERVICE, f"no service has the path {path!r}")
     limit_ms = route.rule.deadline_limit_ms
-    asked_ms = _positive_number(request.get_header(DEADLINE_HEADER), limit_ms)
-    if asked_ms is None:
+    requested_ms = _parse_positive_int(request.get_header(DEADLINE_HEADER), limit_ms)
+    if requested_ms is None:
         value = request.get_header(DEADLINE_HEADER)
         problem = f"{DEADLINE_HEADER} must be a positive number, got {value!r}"
-        return BadCall(Reason.BAD_REQUEST, problem)
+        return RejectedRequest(Reason.BAD_REQUEST, problem)
     return Call(
         call_id=call_id,
         service_id=route.service.service_id,
         rule=route.rule,
-        tenant=_tenant(request),
+        tenant=_get_tenant(request),
         method=request.method,
         path=encoded_path(request),
-        headers=_headers(request),
+        headers=_decode_headers(request),
         body=body,
         key=request.get_header(KEY_HEADER),
-        deadline_s=now_s + min(asked_ms, limit_ms) / MS_PER_S,
+        deadline_s=now_s + min(requested_ms, limit_ms) / MS_PER_S,
         retries_left=parse_retries_left(request.get_header(RETRIES_HEADER)),
         arrived_at_s=now_s,
     )
 
 
-def _positive_number(value: str | None, default: int) -> int | None:
+def _parse_positive_int(value: str | None, default: int) -> int | None:
     if value is None:
         return default
     if not value.isascii() or not value.isdigit() or int(value) == 0:
@@ -131,9 +137,9 @@
     return int(value)
 
 
-def _tenant(request: falcon.asgi.Request) -> str:
+def _get_tenant(request: falcon.asgi.Request) -> str:
     tenant = request.get_header(TENANT_HEADER) or DEFAULT_TENANT
-    return tenant[:TENANT_LIMIT_CHARACTERS]
+    return tenant[:MAX_TENANT_CHARACTERS]
 
 
 def encoded_path(request: falcon.asgi.Request) -> str:
@@ -143,7 +149,7 @@
     return f"{path}?{query}" if query else path
 
 
-def _headers(request: falcon.asgi.Request) -> tuple[tuple[str, str], ...]:
+def _decode_headers(request: falcon.asgi.Request) -> tuple[tuple[str, str], ...]:
     return tuple(
         (name.decode("latin-1"), value.decode("latin-1"))
         for name, value in request.scope["headers"]
--- a/packages/baobabring/baobabring/callers/_answers.py
+++ b/packages/baobabring/baobabring/callers/_responses.py
@@ -1,4 +1,4 @@
-"""Answers to callers, with the outcome in their headers."""
+"""Responses to callers, with the outcome of the call in their headers."""
 
 import math
 from dataclasses import dataclass
@@ -26,11 +26,11 @@
     Reason.KEY_REUSED: 422,
     Reason.OVERLOAD: 429,
 }
-NOT_RUN_STATUS = 503
+DEFAULT_NOT_RUN_STATUS = 503
 UNKNOWN_STATUSES = {Reason.IN_PROGRESS: 409}
-UNKNOWN_STATUS = 504
+DEFAULT_UNKNOWN_STATUS = 504
 
-# These come back the same however often the caller tries.
+# A retry gets the same refusal, so these have no Retry-After header.
 FINAL_REASONS = frozenset(
     {
         Reason.BAD_REQUEST,
@@ -45,11 +45,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """Hold the final outcome of a call with the targets tried, in order."""
+    """Represent the final outcome of a call and its tried targets, in order."""
 
     call_id: str
     outcome: CallOutcome
-    tries: tuple[str, ...] = ()
+    tried_targets: tuple[str, ...] = ()
 
 
 def outcome_name(outcome: CallOutcome) -> str:
@@ -59,13 +59,13 @@
     return "not-run" if isinstance(outcome, NotRun) else "unknown"
 
 
-def write_answer(response: falcon.Response, result: CallResult, now_s: float) -> None:
-    """Fill in the response to a caller."""
+def write_response(response: falcon.Response, result: CallResult, now_s: float) -> None:
+    """Set the status, headers and body of the response to a caller."""
     outcome = result.outcome
     response.set_header(OUTCOME_HEADER, outcome_name(outcome))
     response.set_header(REQUEST_ID_HEADER, result.call_id)
-    if result.tries:
-        response.set_header(TRIES_HEADER, ",".join(result.tries))
+    if result.tried_targets:
+        response.set_header(TRIES_HEADER, ",".join(result.tried_targets))
     if isinstance(outcome, Completed):
         _write_completed(response, outcome)
     else:
@@ -90,9 +90,9 @@
 def _write_refusal(response: falcon.Response, outcome, now_s: float) -> None:
     reason = outcome.reason
     if isinstance(outcome, NotRun):
-        response.status = NOT_RUN_STATUSES.get(reason, NOT_RUN_STATUS)
+        response.status = NOT_RUN_STATUSES.get(reason, DEFAULT_NOT_RUN_STATUS)
     else:
-        response.status = UNKNOWN_STATUSES.get(reason, UNKNOWN_STATUS)
+        response.status = UNKNOWN_STATUSES.get(reason, DEFAULT_UNKNOWN_STATUS)
     response.set_header(REASON_HEADER, reason.value)
     if reason not in FINAL_REASONS:
         wait_s = max(outcome.retry_at_s - now_s, 0.0)
--- a/packages/baobabring/baobabring/callers/_server.py
+++ b/packages/baobabring/baobabring/callers/_server.py
@@ -1,4 +1,4 @@
-"""Configuration of the HTTP server that callers reach."""
+"""Configuration of the HTTP server for callers."""
 
 from collections.abc import Callable
 
--- a/packages/baobabring/baobabring/callers/tests/test_app.py
+++ b/packages/baobabring/baobabring/callers/tests/test_app.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP application against raw sockets on loopback."""
+"""Tests of the HTTP application with raw requests over loopback sockets."""
 
 import asyncio
 import contextlib
@@ -26,63 +26,63 @@
 
 
 class FakeHandler(CallHandler):
-    """Answer each call with a set outcome, or never if there is none."""
+    """End each call with a preset outcome, or never if there is none."""
 
     def __init__(self, outcome=None) -> None:
         self.outcome = outcome
         self.calls: list[Call] = []
-        self.left: list[str] = []
-        self.services_known = True
+        self.disconnected_call_ids: list[str] = []
+        self.configuration_confirmed = True
 
-    def router(self) -> Router:
+    def get_router(self) -> Router:
         """Return a router that knows one service."""
         return Router(CONFIGURATION)
 
-    def new_call_id(self) -> str:
+    def create_call_id(self) -> str:
         """Return the next id."""
         return f"c{len(self.calls)}"
 
     def submit(self, call: Call) -> asyncio.Future[CallResult]:
-        """Note the call."""
+        """Record the call."""
         self.calls.append(call)
         future = asyncio.get_running_loop().create_future()
         if self.outcome is not None:
             future.set_result(CallResult(call.call_id, self.outcome, ("t1", "t2")))
         return future
 
-    def caller_left(self, call_id: str) -> None:
-        """Note the call."""
-        self.left.append(call_id)
+    def on_caller_disconnect(self, call_id: str) -> None:
+        """Record the disconnect."""
+        self.disconnected_call_ids.append(call_id)
 
     def now_s(self) -> float:
         """Return a fixed time."""
         return 100.0
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return True."""
         return True
 
-    def knows_services(self) -> bool:
-        """Return what the test has set."""
-        return self.services_known
+    def is_configuration_confirmed(self) -> bool:
+        """Return the preset value."""
+        return self.configuration_confirmed
 
-    def leaving(self) -> bool:
+    def is_shutting_down(self) -> bool:
         """Return False."""
         return False
 
 
-class QuietServer(uvicorn.Server):
-    """Server that leaves signals alone."""
+class ServerWithoutSignals(uvicorn.Server):
+    """Server that installs no signal handlers."""
 
     @contextlib.contextmanager
     def capture_signals(self):
-        """Capture nothing."""
+        """Install no signal handlers."""
         yield
 
 
 @asynccontextmanager
 async def serving(handler: CallHandler):
-    """Serve the application on a free port; yield a function that sends bytes."""
+    """Serve the application on a free port and yield the port."""
     config = uvicorn.Config(
         create_app(handler, BODY_LIMIT_BYTES),
         port=0,
@@ -90,7 +90,7 @@
         log_config=None,
         http="httptools",
     )
-    server = QuietServer(config)
+    server = ServerWithoutSignals(config)
     task = asyncio.ensure_future(server.serve())
     while not server.started:
         await asyncio.sleep(0.01)
@@ -102,37 +102,39 @@
 
 
 async def send(port: int, request: bytes) -> bytes:
-    """Send raw bytes and return all that comes back until the end."""
+    """Send raw bytes and return everything received until the connection closes."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(request)
-    answer = await asyncio.wait_for(reader.read(), 5)
+    response = await asyncio.wait_for(reader.read(), 5)
     writer.close()
-    return answer
+    return response
 
 
-def get(path: str, *headers: str) -> bytes:
-    """Return a request that closes its connection."""
+def build_get_request(path: str, *headers: str) -> bytes:
+    """Return a GET request with `Connection: close`."""
     lines = [f"GET {path} HTTP/1.1", "Host: x", "Connection: close", *headers]
     return "\r\n".join([*lines, "", ""]).encode()
 
 
-async def ask(handler: FakeHandler, request: bytes) -> bytes:
-    """Serve one raw request."""
+async def serve_and_send(handler: FakeHandler, request: bytes) -> bytes:
+    """Serve the application for one raw request and return the raw response."""
     async with serving(handler) as port:
         return await send(port, request)
 
 
-async def test_completed_answer_is_passed_on_whole_with_its_outcome():
-    answer = await ask(FakeHandler(Completed(ANSWER)), get("/menu/1"))
-    assert answer.startswith(b"HTTP/1.1 201")
+async def test_completed_response_is_forwarded_with_outcome_headers():
+    response = await serve_and_send(
+        FakeHandler(Completed(ANSWER)), build_get_request("/menu/1")
+    )
+    assert response.startswith(b"HTTP/1.1 201")
     for line in (
         b"baobab-outcome: completed",
         b"baobab-tries: t1,t2",
         b"content-type: text/x",
         b"x-own: 1",
     ):
-        assert line in answer.lower()
-    assert answer.endswith(b"\r\n\r\nlunch")
+        assert line in response.lower()
+    assert response.endswith(b"\r\n\r\nlunch")
 
 
 @pytest.mark.parametrize(
@@ -144,12 +146,14 @@
         (Unknown(Reason.IN_PROGRESS, 100.25), b"409", b"unknown"),
     ],
 )
-async def test_refusal_states_outcome_and_when_to_come_back(outcome, status, name):
-    answer = (await ask(FakeHandler(outcome), get("/menu/1"))).lower()
-    assert answer.startswith(b"http/1.1 " + status)
-    assert b"baobab-outcome: " + name in answer
-    assert b"retry-after: 1\r\n" in answer
-    assert b"baobab-retry-after-ms: 250\r\n" in answer
+async def test_refusal_has_outcome_and_retry_after_headers(outcome, status, name):
+    response = (
+        await serve_and_send(FakeHandler(outcome), build_get_request("/menu/1"))
+    ).lower()
+    assert response.startswith(b"http/1.1 " + status)
+    assert b"baobab-outcome: " + name in response
+    assert b"retry-after: 1\r\n" in response
+    assert b"baobab-retry-after-ms: 250\r\n" in response
 
 
 @pytest.mark.parametrize(
@@ -163,11 +167,13 @@
         ("/menu/1", "Baobab-Deadline-Ms: -5", b"400", b"got '-5'"),
     ],
 )
-async def test_bad_request_is_refused_with_its_place(path, header, status, problem):
+async def test_invalid_request_is_rejected_with_its_problem(
+    path, header, status, problem
+):
     handler = FakeHandler()
-    answer = await ask(handler, get(path, header))
-    assert answer.startswith(b"HTTP/1.1 " + status)
-    assert problem in answer
+    response = await serve_and_send(handler, build_get_request(path, header))
+    assert response.startswith(b"HTTP/1.1 " + status)
+    assert problem in response
     assert handler.calls == []
 
 
@@ -178,26 +184,28 @@
         b"Transfer-Encoding: chunked\r\n\r\n3e9\r\n" + b"x" * 1_001 + b"\r\n0\r\n\r\n",
     ],
 )
-async def test_too_large_body_is_refused(framing):
+async def test_too_large_body_is_rejected(framing):
     handler = FakeHandler()
     head = b"POST /menu/1 HTTP/1.1\r\nHost: x\r\nConnection: close\r\n"
-    answer = await ask(handler, head + framing)
-    assert answer.startswith(b"HTTP/1.1 413")
+    response = await serve_and_send(handler, head + framing)
+    assert response.startswith(b"HTTP/1.1 413")
     assert handler.calls == []
 
 
-async def test_unknown_service_is_not_final_while_no_configuration_is_known():
+async def test_unknown_service_is_retryable_until_configuration_is_confirmed():
     handler = FakeHandler()
-    handler.services_known = False
-    answer = (await ask(handler, get("/other"))).lower()
-    assert answer.startswith(b"http/1.1 503")
-    assert b"baobab-reason: configuration-not-confirmed" in answer
-    assert b"retry-after" in answer
+    handler.configuration_confirmed = False
+    response = (await serve_and_send(handler, build_get_request("/other"))).lower()
+    assert response.startswith(b"http/1.1 503")
+    assert b"baobab-reason: configuration-not-confirmed" in response
+    assert b"retry-after" in response
 
 
-async def test_garbage_is_refused():
+async def test_malformed_request_is_rejected():
     handler = FakeHandler()
-    assert (await ask(handler, b"garbage\r\n\r\n")).startswith(b"HTTP/1.1 400")
+    assert (await serve_and_send(handler, b"garbage\r\n\r\n")).startswith(
+        b"HTTP/1.1 400"
+    )
 
 
 @pytest.mark.parametrize(
@@ -207,7 +215,7 @@
         b"Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
     ],
 )
-async def test_body_that_breaks_off_never_becomes_a_call(framing):
+async def test_truncated_body_never_becomes_a_call(framing):
     handler = FakeHandler(Completed(ANSWER))
     async with serving(handler) as port:
         _, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -215,44 +223,46 @@
         await writer.drain()
         writer.close()
         await writer.wait_closed()
-        # A later call on another connection shows that the broken one was seen.
-        await send(port, get("/menu/2"))
+        # The response on a later connection shows that the first request was handled.
+        await send(port, build_get_request("/menu/2"))
     assert [call.path for call in handler.calls] == ["/menu/2"]
 
 
-async def test_caller_that_leaves_is_noticed():
+async def test_caller_disconnect_is_reported():
     handler = FakeHandler()
     async with serving(handler) as port:
         _, writer = await asyncio.open_connection("127.0.0.1", port)
-        writer.write(get("/menu/1"))
+        writer.write(build_get_request("/menu/1"))
         while not handler.calls:
             await asyncio.sleep(0.01)
         writer.close()
-        while not handler.left:
+        while not handler.disconnected_call_ids:
             await asyncio.sleep(0.01)
-    assert handler.left == ["c0"]
+    assert handler.disconnected_call_ids == ["c0"]
 
 
 @pytest.mark.parametrize("path", ["/healthz", "/readyz", "/metrics"])
-async def test_own_paths_answer(path):
-    assert (await ask(FakeHandler(), get(path))).startswith(b"HTTP/1.1 200")
+async def test_own_paths_respond_with_200(path):
+    assert (await serve_and_send(FakeHandler(), build_get_request(path))).startswith(
+        b"HTTP/1.1 200"
+    )
 
 
-async def test_body_that_comes_too_slowly_never_becomes_a_call(monkeypatch):
+async def test_body_slower_than_the_timeout_never_becomes_a_call(monkeypatch):
     monkeypatch.setattr("baobabring.callers._app.BODY_TIMEOUT_S", 0.05)
     handler = FakeHandler(Completed(ANSWER))
     head = b"POST /menu/1 HTTP/1.1\r\nHost: x\r\nConnection: close\r\n"
     async with serving(handler) as port:
-        answer = await send(port, head + b"Content-Length: 9\r\n\r\nhalf")
-    assert answer.startswith(b"HTTP/1.1 400")
-    assert b"baobab-outcome: not-run" in answer.lower()
+        response = await send(port, head + b"Content-Length: 9\r\n\r\nhalf")
+    assert response.startswith(b"HTTP/1.1 400")
+    assert b"baobab-outcome: not-run" in response.lower()
     assert handler.calls == []
 
 
-async def test_instance_that_leaves_closes_connections_after_their_answers():
+async def test_instance_shutting_down_closes_connections_after_responses():
     handler = FakeHandler(Completed(ANSWER))
-    handler.leaving = lambda: True
+    handler.is_shutting_down = lambda: True
     async with serving(handler) as port:
-        # Without "Connection: close" in the request, only the answer can end it.
-        answer = await send(port, b"GET /menu/1 HTTP/1.1\r\nHost: x\r\n\r\n")
-    assert answer.endswith(b"lunch")
+        # Without "Connection: close" in the request, only the server closes it.
+        response = await send(port, b"GET /menu/1 HTTP/1.1\r\nHost: x\r\n\r\n")
+    assert response.endswith(b"lunch")
--- a/packages/baobabring/baobabring/operators/__init__.py
+++ b/packages/baobabring/baobabring/operators/__init__.py
@@ -1,4 +1,4 @@
-"""Operators' remote calls."""
+"""gRPC service for operators."""
 
 from baobabring.operators._control_plane import (
     ControlPlane,
--- a/packages/baobabring/baobabring/operators/_control_plane.py
+++ b/packages/baobabring/baobabring/operators/_control_plane.py
@@ -1,4 +1,4 @@
-"""Interface between the operators' calls and the rest of an instance."""
+"""Interface between the operators' gRPC service and the rest of an instance."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class ReportedState(StrEnum):
-    """State of an instance as another instance sees it."""
+    """Represent the state of an instance as another instance sees it."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceStatus:
-    """Describe an instance as the answering instance sees it."""
+    """Represent an instance as the instance that replies sees it."""
 
     instance_id: str
     zone: str
@@ -32,12 +32,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Settled:
-    """Tell that the settlement was recorded."""
+    """Represent a settlement that was recorded."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotSettleable:
-    """Tell why the outcome cannot be settled."""
+    """Represent the reason why an outcome cannot be settled."""
 
     reason: str
 
@@ -46,7 +46,7 @@
 
 
 class ControlPlane(ABC):
-    """Carry out the operators' calls."""
+    """Execute the requests of operators."""
 
     @abstractmethod
     async def propose(
@@ -56,22 +56,22 @@
         deadline_s: float,
         change_id: str | None = None,
     ) -> ProposalOutcome:
-        """Publish a change; with the id of an earlier try, it is applied once."""
+        """Publish a change; a retry with the same `change_id` is applied only once."""
 
     @abstractmethod
-    def configuration(self) -> Configuration:
-        """Return the newest configuration known here."""
+    def get_configuration(self) -> Configuration:
+        """Return the newest configuration known to this instance."""
 
     @abstractmethod
-    def instances(self) -> tuple[InstanceStatus, ...]:
-        """Return the instances known here, this one included."""
+    def get_instances(self) -> tuple[InstanceStatus, ...]:
+        """Return the instances known to this instance, including itself."""
 
     @abstractmethod
-    def unknown_outcomes(self) -> tuple[UnknownOutcome, ...]:
-        """Return the unknown outcomes known here."""
+    def get_unknown_outcomes(self) -> tuple[UnknownOutcome, ...]:
+        """Return the calls whose outcome is unknown, as known to this instance."""
 
     @abstractmethod
     async def settle(
         self, service_id: str, key: str, settlement: Settlement, deadline_s: float
     ) -> SettlementOutcome:
-        """Record what became of a call whose outcome is unknown."""
+        """Record whether a call whose outcome is unknown has run."""
--- a/packages/baobabring/baobabring/operators/_replies.py
+++ b/packages/baobabring/baobabring/operators/_replies.py
@@ -1,4 +1,4 @@
-"""Translation of typed outcomes and listings into replies."""
+"""Translation of typed outcomes and lists into replies."""
 
 from collections.abc import Iterable
 
@@ -25,7 +25,7 @@
 
 
 def to_change_reply(outcome: ProposalOutcome) -> pb.ChangeReply:
-    """Return the reply that tells the outcome of a change."""
+    """Return the reply for the outcome of a change."""
     match outcome:
         case Accepted(revision=revision):
             return pb.ChangeReply(accepted=pb.Accepted(revision=revision))
@@ -35,11 +35,11 @@
             return pb.ChangeReply(invalid=to_invalid(findings))
         case Unconfirmed():
             return pb.ChangeReply(unconfirmed=_to_unconfirmed(outcome))
-    raise TypeError(f"unknown outcome {type(outcome).__name__}")
+    raise TypeError(f"outcome must be a ProposalOutcome, got {type(outcome).__name__}")
 
 
 def to_settle_reply(outcome: SettlementOutcome) -> pb.SettleOutcomeReply:
-    """Return the reply that tells the outcome of a settlement."""
+    """Return the reply for the outcome of a settlement."""
     match outcome:
         case Settled():
             return pb.SettleOutcomeReply(settled=pb.Settled())
@@ -47,18 +47,20 @@
             return pb.SettleOutcomeReply(not_settleable=pb.NotSettleable(reason=reason))
         case Unconfirmed():
             return pb.SettleOutcomeReply(unconfirmed=_to_unconfirmed(outcome))
-    raise TypeError(f"unknown outcome {type(outcome).__name__}")
+    raise TypeError(
+        f"outcome must be a SettlementOutcome, got {type(outcome).__name__}"
+    )
 
 
 def to_invalid(findings: Iterable[Finding]) -> pb.Invalid:
-    """Return the message that tells all findings."""
+    """Return the message that lists all findings."""
     return pb.Invalid(
         findings=[pb.Finding(place=f.place, problem=f.problem) for f in findings]
     )
 
 
 def to_services_reply(configuration: Configuration) -> pb.ListServicesReply:
-    """Return the listing of services, and of zones that are out or have targets."""
+    """Return the list of services and of the zones that are out or have targets."""
     services = configuration.services
     zones = set(configuration.zones_out)
     for service in services.values():
@@ -75,7 +77,7 @@
 def to_instances_reply(
     instances: Iterable[InstanceStatus],
 ) -> pb.ListInstancesReply:
-    """Return the listing of instances in the order of their ids."""
+    """Return the list of instances, sorted by id."""
     ordered = sorted(instances, key=lambda status: status.instance_id)
     return pb.ListInstancesReply(instances=[_from_instance(i) for i in ordered])
 
@@ -83,7 +85,7 @@
 def to_outcomes_reply(
     outcomes: Iterable[UnknownOutcome],
 ) -> pb.ListUnknownOutcomesReply:
-    """Return the listing of unknown outcomes, the oldest first."""
+    """Return the list of unknown outcomes, oldest claim first."""
     ordered = sorted(outcomes, key=lambda o: (o.claimed_at_s, o.service_id, o.key))
     return pb.ListUnknownOutcomesReply(outcomes=[_from_outcome(o) for o in ordered])
 
--- a/packages/baobabring/baobabring/operators/_requests.py
+++ b/packages/baobabring/baobabring/operators/_requests.py
@@ -1,4 +1,4 @@
-"""Translation of requests into typed changes, with findings."""
+"""Translation of requests into typed changes, with validation findings."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -47,12 +47,12 @@
     pb.SETTLEMENT_NOT_RUN: Settlement.NOT_RUN,
 }
 
-E = TypeVar("E", bound=Enum)
+EnumT = TypeVar("EnumT", bound=Enum)
 
 
 @dataclass(frozen=True, slots=True)
 class ParsedChange:
-    """Hold the change of a request and all findings about it."""
+    """Represent the change of a request and all findings about it."""
 
     change: Change
     findings: tuple[Finding, ...]
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedSettlement:
-    """Hold the settlement of a request and all findings about it."""
+    """Represent the settlement of a request and all findings about it."""
 
     settlement: Settlement
     findings: tuple[Finding, ...]
@@ -69,8 +69,8 @@
 def parse_change(request: Any, configuration: Configuration) -> ParsedChange:
     """Return the change that a request asks for.
 
-    Enumerations that were left out are findings; the rest is validated all the same,
-    so that the operator sees everything at once.
+    An enumeration without a known value is a finding. The rest is validated even so,
+    so that the operator gets all findings at once.
     """
     findings: list[Finding] = []
     if len(request.change_id) > MAX_CHANGE_ID_CHARACTERS:
@@ -152,7 +152,7 @@
 
 def _to_target(message: pb.Target, place: str, findings: list[Finding]) -> Target:
     state = TargetState.ACTIVE
-    # A target that is put without a state is active.
+    # A target without a state is active.
     if message.state != pb.TARGET_STATE_UNSPECIFIED:
         state = _to_enum(
             TARGET_STATES, message.state, state, f"{place}.state", findings
@@ -167,8 +167,12 @@
 
 
 def _to_enum(
-    known: dict[int, E], value: int, fallback: E, place: str, findings: list[Finding]
-) -> E:
+    known: dict[int, EnumT],
+    value: int,
+    fallback: EnumT,
+    place: str,
+    findings: list[Finding],
+) -> EnumT:
     if value in known:
         return known[value]
     names = ", ".join(member.name.lower() for member in known.values())
--- a/packages/baobabring/baobabring/operators/_server.py
+++ b/packages/baobabring/baobabring/operators/_server.py
@@ -1,4 +1,4 @@
-"""Server of the operators' calls."""
+"""gRPC server for operators."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -13,7 +13,7 @@
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
 
 _OPTIONS = (
-    # Two processes on one address must not share its connections unnoticed.
+    # With SO_REUSEPORT, two processes could share an address without an error.
     ("grpc.so_reuseport", 0),
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
 )
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Certificates:
-    """Hold what mutual TLS needs, each as PEM."""
+    """Represent the certificates and the private key for mutual TLS, each as PEM."""
 
     authority: bytes
     certificate: bytes
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BoundServer:
-    """Hold a server that is not started yet and the port that it is bound to."""
+    """Represent a bound server that is not started yet, and its port."""
 
     server: grpc.aio.Server
     port: int
@@ -50,9 +50,9 @@
 def create_operators_server(
     control_plane: ControlPlane, address: str, certificates: Certificates | None
 ) -> grpc.aio.Server:
-    """Return a server bound to an address; with certificates, by mutual TLS.
+    """Return a server bound to an address, with mutual TLS if certificates are given.
 
-    The server is started by the caller. Raises RuntimeError if the address is taken.
+    The server is not started. Raises RuntimeError if the address is in use.
     """
     return bind_operators_server(control_plane, address, certificates).server
 
@@ -60,7 +60,7 @@
 def bind_operators_server(
     control_plane: ControlPlane, address: str, certificates: Certificates | None
 ) -> BoundServer:
-    """Return a server and its port, which tells what port 0 became."""
+    """Return a bound server and its port, which the system chooses for port 0."""
     server = grpc.aio.server(options=_OPTIONS)
     servicer = OperatorsServicer(control_plane, Clock())
     pb_grpc.add_OperatorsServicer_to_server(servicer, server)
--- a/packages/baobabring/baobabring/operators/_servicer.py
+++ b/packages/baobabring/baobabring/operators/_servicer.py
@@ -1,4 +1,4 @@
-"""Servicer of the operators' calls."""
+"""gRPC servicer for operators."""
 
 from typing import Any
 
@@ -20,12 +20,12 @@
 
 DEFAULT_TIMEOUT_S = 10.0
 MAX_TIMEOUT_S = 60.0
-# The rest of the client's time is for the reply to travel.
+# Share of the client's time that a request may take; the rest is for the reply.
 TIMEOUT_SHARE = 0.9
 
 
 class OperatorsServicer(pb_grpc.OperatorsServicer):
-    """Translate between the schema and the control plane."""
+    """Translate between the gRPC schema and the control plane."""
 
     def __init__(self, control_plane: ControlPlane, clock: Clock) -> None:
         self.control_plane = control_plane
@@ -57,15 +57,15 @@
 
     async def ListServices(self, request, context):  # noqa: N802
         """List services and zones."""
-        return to_services_reply(self.control_plane.configuration())
+        return to_services_reply(self.control_plane.get_configuration())
 
     async def ListInstances(self, request, context):  # noqa: N802
         """List instances."""
-        return to_instances_reply(self.control_plane.instances())
+        return to_instances_reply(self.control_plane.get_instances())
 
     async def ListUnknownOutcomes(self, request, context):  # noqa: N802
         """List unknown outcomes."""
-        return to_outcomes_reply(self.control_plane.unknown_outcomes())
+        return to_outcomes_reply(self.control_plane.get_unknown_outcomes())
 
     async def SettleOutcome(self, request, context):  # noqa: N802
         """Settle an unknown outcome."""
@@ -76,25 +76,25 @@
             request.service_id,
             request.key,
             parsed.settlement,
-            self._deadline_s(context),
+            self._get_deadline_s(context),
         )
         return to_settle_reply(outcome)
 
     async def _propose(
         self, request: Any, context: grpc.aio.ServicerContext
     ) -> pb.ChangeReply:
-        parsed = parse_change(request, self.control_plane.configuration())
+        parsed = parse_change(request, self.control_plane.get_configuration())
         if parsed.findings:
             return pb.ChangeReply(invalid=to_invalid(parsed.findings))
         outcome = await self.control_plane.propose(
             request.base_revision,
             parsed.change,
-            self._deadline_s(context),
+            self._get_deadline_s(context),
             change_id=request.change_id or None,
         )
         return to_change_reply(outcome)
 
-    def _deadline_s(self, context: grpc.aio.ServicerContext) -> float:
+    def _get_deadline_s(self, context: grpc.aio.ServicerContext) -> float:
         remaining_s = context.time_remaining()
         if remaining_s is None:
             remaining_s = DEFAULT_TIMEOUT_S
--- a/packages/baobabring/baobabring/operators/tests/fakes.py
+++ b/packages/baobabring/baobabring/operators/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Control plane in memory."""
+"""In-memory fake of the control plane."""
 
 from dataclasses import dataclass, field
 
@@ -16,7 +16,7 @@
 
 @dataclass
 class Proposal:
-    """Hold what a servicer proposed."""
+    """Represent the arguments of one proposal."""
 
     base_revision: int
     change: Change
@@ -26,11 +26,11 @@
 
 @dataclass
 class FakeControlPlane(ControlPlane):
-    """Answer as a test says and keep what was asked."""
+    """Return preset results and record proposals and settlements."""
 
     outcome: ProposalOutcome = field(default_factory=lambda: Accepted(1))
     settlement_outcome: SettlementOutcome = field(default_factory=Settled)
-    current: Configuration = field(default_factory=Configuration)
+    current_configuration: Configuration = field(default_factory=Configuration)
     statuses: tuple[InstanceStatus, ...] = ()
     unknown: tuple[UnknownOutcome, ...] = ()
     proposals: list[Proposal] = field(default_factory=list)
@@ -46,13 +46,13 @@
         self.proposals.append(Proposal(base_revision, change, deadline_s, change_id))
         return self.outcome
 
-    def configuration(self) -> Configuration:
-        return self.current
+    def get_configuration(self) -> Configuration:
+        return self.current_configuration
 
-    def instances(self) -> tuple[InstanceStatus, ...]:
+    def get_instances(self) -> tuple[InstanceStatus, ...]:
         return self.statuses
 
-    def unknown_outcomes(self) -> tuple[UnknownOutcome, ...]:
+    def get_unknown_outcomes(self) -> tuple[UnknownOutcome, ...]:
         return self.unknown
 
     async def settle(
--- a/packages/baobabring/baobabring/operators/tests/test_command_line.py
+++ b/packages/baobabring/baobabring/operators/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""Tests of baobabctl against a server that publishes through a log in memory."""
+"""Tests of baobabctl against a server that publishes to an in-memory log."""
 
 import asyncio
 import io
@@ -34,20 +34,20 @@
 
 
 class PublishingControlPlane(FakeControlPlane):
-    """Publish changes for real."""
+    """Publish changes to an event log."""
 
     def __init__(self, publisher: ConfigurationPublisher) -> None:
         super().__init__()
         self.propose = publisher.propose
         self.reader = publisher.reader
 
-    def configuration(self):
+    def get_configuration(self):
         return self.reader.configuration
 
 
 @asynccontextmanager
 async def serving(log: FakeEventLog):
-    """Serve one instance by TLS and give its reader and address."""
+    """Serve one instance over TLS and yield its reader and address."""
     reader = ConfigurationReader(log, log.clock, RETENTION_S, Random(1))
     publisher = ConfigurationPublisher(log, reader, log.clock)
     certificates = read_certificates(
@@ -57,51 +57,51 @@
         PublishingControlPlane(publisher), "127.0.0.1:0", certificates
     )
     await bound.server.start()
-    following = asyncio.create_task(reader.run())
+    reader_task = asyncio.create_task(reader.run())
     try:
         yield reader, f"127.0.0.1:{bound.port}"
     finally:
-        following.cancel()
-        await asyncio.gather(following, return_exceptions=True)
+        reader_task.cancel()
+        await asyncio.gather(reader_task, return_exceptions=True)
         await bound.server.stop(grace=None)
 
 
-async def run_line(address: str, *words: str) -> int:
+async def run_command(address: str, *arguments: str) -> int:
     terminal = Terminal(io.StringIO(), io.StringIO(), io.StringIO())
-    argv = ["--server", address, *TLS_FLAGS, *words]
+    argv = ["--server", address, *TLS_FLAGS, *arguments]
     return await asyncio.to_thread(execute, argv, terminal)
 
 
-async def test_changes_by_command_line_come_into_force(tmp_path):
+async def test_changes_by_command_line_are_applied(tmp_path):
     file = tmp_path / "menu.json"
     file.write_text(json.dumps(SERVICE))
     log = FakeEventLog(Clock())
     log.faults.append(Fault.LOST_AFTER)
     async with serving(log) as (reader, address):
-        assert await run_line(address, "service", "put", str(file)) == 0
-        assert await run_line(address, "target", "drain", "menu", "t1") == 0
-        assert await run_line(address, "zone", "out", "sapporo", "--yes") == 0
+        assert await run_command(address, "service", "put", str(file)) == 0
+        assert await run_command(address, "target", "drain", "menu", "t1") == 0
+        assert await run_command(address, "zone", "out", "sapporo", "--yes") == 0
         (target,) = reader.configuration.services["menu"].targets
         assert target.state is TargetState.DRAINING
         assert reader.configuration.zones_out == {"sapporo"}
         assert reader.configuration.revision == 3
 
 
-async def test_a_change_on_an_old_revision_is_a_conflict_to_the_command_line(tmp_path):
+async def test_change_based_on_an_old_revision_exits_with_conflict(tmp_path):
     file = tmp_path / "menu.json"
     file.write_text(json.dumps(SERVICE))
     async with serving(FakeEventLog(Clock())) as (_, address):
-        line = ("service", "put", str(file), "--base_revision", "0")
-        assert await run_line(address, *line) == 0
-        assert await run_line(address, *line) == 3
+        command = ("service", "put", str(file), "--base_revision", "0")
+        assert await run_command(address, *command) == 0
+        assert await run_command(address, *command) == 3
 
 
-async def test_an_unconfirmed_change_is_resolved_by_its_id(tmp_path):
+async def test_retry_with_the_same_change_id_resolves_an_unconfirmed_change(tmp_path):
     file = tmp_path / "menu.json"
     file.write_text(json.dumps(SERVICE))
     log = FakeEventLog(Clock())
     async with serving(log) as (reader, address):
-        line = (
+        command = (
             "service",
             "put",
             str(file),
@@ -111,7 +111,7 @@
             "c1",
         )
         log.readable = False
-        assert await run_line(address, *line, "--timeout_s", "1") == 4
+        assert await run_command(address, *command, "--timeout_s", "1") == 4
         log.readable = True
-        assert await run_line(address, *line) == 0
+        assert await run_command(address, *command) == 0
         assert reader.configuration.revision == 1
--- a/packages/baobabring/baobabring/operators/tests/test_server.py
+++ b/packages/baobabring/baobabring/operators/tests/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of the server's mutual TLS."""
+"""Tests of mutual TLS at the operators' server."""
 
 from contextlib import asynccontextmanager
 from pathlib import Path
@@ -15,7 +15,8 @@
 )
 from baobabring.operators.tests.fakes import FakeControlPlane
 
-# Valid until 2120; the authority's key was not kept.
+# The certificates are valid until 2120. The authority's key was not kept, so it
+# can't sign further ones.
 FOLDER = Path(__file__).parent / "certificates"
 TIMEOUT_S = 20.0
 
@@ -73,7 +74,7 @@
             await list_instances(grpc.aio.insecure_channel(address))
 
 
-def test_certificates_that_are_none_are_refused_at_the_start():
+def test_invalid_certificates_are_rejected_when_binding():
     certificates = Certificates(authority=b"x", certificate=b"y", key=b"z")
     with pytest.raises(RuntimeError):
         bind_operators_server(FakeControlPlane(), "127.0.0.1:0", certificates)
--- a/packages/baobabring/baobabring/operators/tests/test_servicer.py
+++ b/packages/baobabring/baobabring/operators/tests/test_servicer.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' calls over a loopback connection."""
+"""Tests of the operators' gRPC service over a loopback connection."""
 
 from contextlib import asynccontextmanager
 
@@ -71,7 +71,7 @@
 
 @asynccontextmanager
 async def serving(control_plane):
-    """Serve a control plane and give a stub that reaches it."""
+    """Serve a control plane and yield a stub for it."""
     bound = bind_operators_server(control_plane, "127.0.0.1:0", None)
     await bound.server.start()
     options = [("grpc.enable_http_proxy", 0)]
@@ -83,7 +83,7 @@
         await bound.server.stop(grace=None)
 
 
-async def call(control_plane, method: str, request):
+async def send_request(control_plane, method: str, request):
     async with serving(control_plane) as stub:
         return await getattr(stub, method)(request, timeout=TIMEOUT_S)
 
@@ -129,7 +129,7 @@
     control_plane = FakeControlPlane()
     request_message.base_revision = 7
     request_message.change_id = "c1"
-    reply = await call(control_plane, method, request_message)
+    reply = await send_request(control_plane, method, request_message)
     assert reply.accepted.revision == 1
     (proposal,) = control_plane.proposals
     assert proposal.change == change
@@ -159,10 +159,10 @@
 async def test_each_outcome_reaches_the_operator(outcome, reply):
     control_plane = FakeControlPlane(outcome=outcome)
     request = pb.DeleteServiceRequest(service_id="orders")
-    assert await call(control_plane, "DeleteService", request) == reply
+    assert await send_request(control_plane, "DeleteService", request) == reply
 
 
-async def test_findings_at_the_border_come_with_those_of_the_rest():
+async def test_findings_of_parsing_come_with_those_of_validation():
     request = pb.PutServiceRequest(
         change_id="x" * 65,
         service=pb.Service(
@@ -173,7 +173,7 @@
         ),
     )
     control_plane = FakeControlPlane()
-    reply = await call(control_plane, "PutService", request)
+    reply = await send_request(control_plane, "PutService", request)
     assert [finding.place for finding in reply.invalid.findings] == [
         "change_id",
         "service.rules[0].key_rule",
@@ -190,15 +190,17 @@
     control_plane = FakeControlPlane()
     target = pb.Target(target_id="t1", address="10.0.0.1:80", zone="sapporo", slots=2)
     request = pb.PutTargetRequest(service_id="orders", target=target)
-    await call(control_plane, "PutTarget", request)
+    await send_request(control_plane, "PutTarget", request)
     assert control_plane.proposals[0].change.target.state is TargetState.ACTIVE
 
 
 async def test_services_are_listed_with_all_zones():
     control_plane = FakeControlPlane(
-        current=Configuration(9, {"orders": SERVICE}, frozenset({"hakodate"}))
+        current_configuration=Configuration(
+            9, {"orders": SERVICE}, frozenset({"hakodate"})
+        )
     )
-    reply = await call(control_plane, "ListServices", pb.ListServicesRequest())
+    reply = await send_request(control_plane, "ListServices", pb.ListServicesRequest())
     assert reply == pb.ListServicesReply(
         revision=9,
         services=[SERVICE_MESSAGE],
@@ -216,7 +218,9 @@
             InstanceStatus("i1", "sapporo", ReportedState.LIVE, 2, 10, 20),
         )
     )
-    reply = await call(control_plane, "ListInstances", pb.ListInstancesRequest())
+    reply = await send_request(
+        control_plane, "ListInstances", pb.ListInstancesRequest()
+    )
     assert [i.instance_id for i in reply.instances] == ["i1", "i2"]
     assert reply.instances[1].state == "silent"
     assert reply.instances[1].confirmed_age_ms == 2**32 - 1
@@ -230,7 +234,7 @@
 
     control_plane = FakeControlPlane(unknown=(outcome("k2", 5.5), outcome("k1", 1.25)))
     request = pb.ListUnknownOutcomesRequest()
-    reply = await call(control_plane, "ListUnknownOutcomes", request)
+    reply = await send_request(control_plane, "ListUnknownOutcomes", request)
     assert [(o.key, o.claimed_at_unix_ms) for o in reply.outcomes] == [
         ("k1", 1_250),
         ("k2", 5_500),
@@ -250,20 +254,22 @@
     request = pb.SettleOutcomeRequest(
         service_id="orders", key="k1", settlement=pb.SETTLEMENT_NOT_RUN
     )
-    reply = await call(control_plane, "SettleOutcome", request)
+    reply = await send_request(control_plane, "SettleOutcome", request)
     assert reply.WhichOneof("outcome") == name
     assert control_plane.settlements == [Settlement.NOT_RUN]
 
 
 async def test_a_settlement_without_its_fields_is_invalid():
     control_plane = FakeControlPlane()
-    reply = await call(control_plane, "SettleOutcome", pb.SettleOutcomeRequest())
+    reply = await send_request(
+        control_plane, "SettleOutcome", pb.SettleOutcomeRequest()
+    )
     places = [finding.place for finding in reply.invalid.findings]
     assert places == ["service_id", "key", "settlement"]
     assert control_plane.settlements == []
 
 
-async def test_the_deadline_lies_before_the_end_of_the_client_s_time():
+async def test_deadline_follows_the_client_timeout_up_to_a_maximum():
     control_plane = FakeControlPlane()
     async with serving(control_plane) as stub:
         request = pb.DeleteServiceRequest(service_id="orders")
--- a/packages/baobabring/baobabring/program/_control_plane.py
+++ b/packages/baobabring/baobabring/program/_control_plane.py
@@ -63,17 +63,17 @@
             base_revision, change, deadline_s, change_id
         )
 
-    def configuration(self) -> Configuration:
+    def get_configuration(self) -> Configuration:
         """Return the newest configuration known here."""
         return self.publisher.reader.configuration
 
-    def instances(self) -> tuple[InstanceStatus, ...]:
+    def get_instances(self) -> tuple[InstanceStatus, ...]:
         """Return the instances known here, this one included."""
         own = InstanceStatus(
             instance_id=self.membership.info.instance_id,
             zone=self.membership.info.zone,
             state=ReportedState(self.membership.state.value),
-            revision=self.configuration().revision,
+            revision=self.get_configuration().revision,
             heartbeat_age_ms=0,
             confirmed_age_ms=self._age_ms(self.membership.tracker.confirmed_at_s),
         )
@@ -97,7 +97,7 @@
         age_ms = int((self.clock.now_s() - at_s) * MS_PER_S)
         return min(max(age_ms, 0), MAX_AGE_MS)
 
-    def unknown_outcomes(self) -> tuple[UnknownOutcome, ...]:
+    def get_unknown_outcomes(self) -> tuple[UnknownOutcome, ...]:
         """Return the unknown outcomes known here."""
         return tuple(self.claims.unknown_outcomes(self.clock.now_s()))
 
--- a/packages/baobabring/baobabring/program/_dispatcher.py
+++ b/packages/baobabring/baobabring/program/_dispatcher.py
@@ -59,11 +59,11 @@
 
     # What callers need
 
-    def router(self) -> Router:
+    def get_router(self) -> Router:
         """Return the router of the configuration in force."""
         return self._router
 
-    def new_call_id(self) -> str:
+    def create_call_id(self) -> str:
         """Return an id that no other call of the fleet has."""
         self._call_count += 1
         return f"{self._call_id_prefix}-{self._call_count}"
@@ -79,12 +79,12 @@
             self._flush_claims()
         return future
 
-    def caller_left(self, call_id: str) -> None:
+    def on_caller_disconnect(self, call_id: str) -> None:
         """Take in that a caller has gone away."""
         self.engine.caller_left(call_id, self.clock.now_s())
         self.run_commands()
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Tell whether the platform's balancer should send calls here."""
         return self._ready
 
@@ -118,11 +118,11 @@
         self._ready = False
         self._leaving = True
 
-    def knows_services(self) -> bool:
+    def is_configuration_confirmed(self) -> bool:
         """Tell whether a service that isn't known here doesn't exist."""
         return self.engine.can_start_attempts
 
-    def leaving(self) -> bool:
+    def is_shutting_down(self) -> bool:
         """Tell whether this instance is shutting down."""
         return self._leaving
 
--- a/packages/baobabring/baobabring/program/entry/_app.py
+++ b/packages/baobabring/baobabring/program/entry/_app.py
@@ -8,8 +8,8 @@
 import prometheus_client
 
 from baobabring.callers import (
-    BadCall,
     CallerConnectionMiddleware,
+    RejectedRequest,
     encoded_path,
     has_body,
     read_body,
@@ -43,12 +43,12 @@
     ) -> None:
         """Serve one request."""
         arrived_at_s = self.calls.clock.now_s()
-        body: bytes | BadCall | None = b""
+        body: bytes | RejectedRequest | None = b""
         if has_body(request):
             body = await read_body(request, self.calls.body_limit_bytes)
         if body is None:
             return
-        if isinstance(body, BadCall):
+        if isinstance(body, RejectedRequest):
             write_outcome(response, Rejected(CallProblem.TOO_LARGE), arrived_at_s)
             return
         outcome = await self._serve(request, body, arrived_at_s)
@@ -71,14 +71,14 @@
         if call.done():
             return call.result()
         connection = request.scope[CallerConnectionMiddleware.SCOPE_KEY]
-        disconnect = asyncio.ensure_future(connection.wait_left())
+        disconnect = asyncio.ensure_future(connection.wait_for_disconnect())
         disconnect.add_done_callback(
             lambda task: task.cancelled() or self.calls.on_caller_disconnect(call)
         )
         try:
             return await call
         except asyncio.CancelledError:
-            if not connection.left:
+            if not connection.disconnected:
                 raise
             return Undetermined(CallProblem.CALLER_LEFT)
         finally:
--- a/packages/baobabring/baobabring/targets/__init__.py
+++ b/packages/baobabring/baobabring/targets/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP towards targets."""
+"""HTTP client for targets."""
 
 from baobabring.targets._client import (
     AttemptPlan,
--- a/packages/baobabring/baobabring/targets/_client.py
+++ b/packages/baobabring/baobabring/targets/_client.py
@@ -1,4 +1,4 @@
-"""HTTP client that carries one attempt of a call to a target."""
+"""HTTP client that sends attempts and probes to targets."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Collection
@@ -23,7 +23,7 @@
 
 MS_PER_S = 1_000
 CONNECT_TIMEOUT_S = 0.5
-KEEPALIVE_S = 15
+KEEP_ALIVE_S = 15
 PROBE_TIMEOUT_S = 0.5
 
 NOT_RUN_HEADER = "Baobab-Not-Run"
@@ -35,12 +35,13 @@
 TENANT_HEADER = "Baobab-Tenant"
 
 CONNECTION_HEADER = "connection"
-# What the fleet tells of an answer must not be mistaken for what a target says.
-OWN_PREFIX = "baobab-"
+# Instances set headers with this prefix in responses to callers. Those of a target
+# are removed so that callers can't mistake them for the instance's own.
+OWN_HEADER_PREFIX = "baobab-"
 Header = tuple[str, str]
 
-# Headers that concern one connection only, or that we set ourselves.
-NOT_FORWARDED = frozenset(
+# Hop-by-hop headers, and headers that instances set or read themselves.
+NOT_FORWARDED_HEADERS = frozenset(
     {
         "connection",
         "content-length",
@@ -65,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptPlan:
-    """Say where, until when and how to try a call once."""
+    """Represent an attempt that is to be sent to a target."""
 
     call: Call
     address: str
@@ -75,15 +76,15 @@
 
 
 class TargetClient(ABC):
-    """Carry attempts and probes to targets."""
+    """Send attempts and probes to targets."""
 
     @abstractmethod
     async def attempt(self, plan: AttemptPlan) -> AttemptOutcome:
-        """Try a call once; cancelling the task cancels it at the target."""
+        """Send a call once; cancelling the task also cancels it at the target."""
 
     @abstractmethod
     async def probe(self, address: str) -> LoadReport | None:
-        """Ask a target for its load, or return None when it doesn't answer."""
+        """Return the load that a target reports, or None without a valid response."""
 
     @abstractmethod
     async def close(self) -> None:
@@ -91,23 +92,25 @@
 
 
 def create_target_client(
-    connections_per_target: int, answer_limit_bytes: int, clock: Clock
+    connections_per_target: int, response_limit_bytes: int, clock: Clock
 ) -> TargetClient:
-    """Return a client; at most so many connections stay open to each target."""
+    """Return a client; `connections_per_target` limits its pooled connections."""
     return HttpTargetClient(
-        _create_session(connections_per_target, keep_open=True),
-        _create_session(0, keep_open=False),
-        answer_limit_bytes,
+        _create_session(connections_per_target, keep_alive=True),
+        _create_session(0, keep_alive=False),
+        response_limit_bytes,
         clock,
     )
 
 
-def _create_session(limit: int, keep_open: bool) -> aiohttp.ClientSession:
+def _create_session(
+    connections_per_target: int, keep_alive: bool
+) -> aiohttp.ClientSession:
     connector = aiohttp.TCPConnector(
         limit=0,
-        limit_per_host=limit,
-        force_close=not keep_open,
-        **({"keepalive_timeout": KEEPALIVE_S} if keep_open else {}),
+        limit_per_host=connections_per_target,
+        force_close=not keep_alive,
+        **({"keepalive_timeout": KEEP_ALIVE_S} if keep_alive else {}),
     )
     return aiohttp.ClientSession(
         connector=connector,
@@ -118,20 +121,21 @@
 
 
 class _RepeatedSendError(aiohttp.ClientError):
-    """Tell that the library tried to send a request a second time."""
+    """Report that aiohttp tried to send a request a second time."""
 
 
-class _SendOnce:
-    """Keep the library from sending a request again by itself.
+class _SendOnceMiddleware:
+    """Prevent aiohttp from sending a request a second time on its own.
 
-    aiohttp repeats PUT and DELETE when a connection breaks, whatever may have run.
+    aiohttp repeats PUT and DELETE when a connection breaks, although the target may
+    have run the request.
     """
 
     def __init__(self) -> None:
         self._sent = False
 
     async def __call__(self, request, handler) -> aiohttp.ClientResponse:
-        """Pass the first send on and refuse any other."""
+        """Send the request the first time; raise `_RepeatedSendError` afterwards."""
         if self._sent:
             raise _RepeatedSendError
         self._sent = True
@@ -139,41 +143,41 @@
 
 
 class HttpTargetClient(TargetClient):
-    """Carry attempts over HTTP with aiohttp."""
+    """Send attempts and probes over HTTP with aiohttp."""
 
     def __init__(
         self,
-        pooled: aiohttp.ClientSession,
-        unpooled: aiohttp.ClientSession,
-        answer_limit_bytes: int,
+        pooled_session: aiohttp.ClientSession,
+        unpooled_session: aiohttp.ClientSession,
+        response_limit_bytes: int,
         clock: Clock,
     ) -> None:
-        self.pooled = pooled
-        self.unpooled = unpooled
-        self.answer_limit_bytes = answer_limit_bytes
+        self.pooled_session = pooled_session
+        self.unpooled_session = unpooled_session
+        self.response_limit_bytes = response_limit_bytes
         self.clock = clock
 
     async def attempt(self, plan: AttemptPlan) -> AttemptOutcome:
-        """Try a call once; cancelling the task cancels it at the target."""
+        """Send a call once; cancelling the task also cancels it at the target."""
         started_at_s = self.clock.now_s()
-        left_s = plan.deadline_s - started_at_s
-        if left_s <= 0:
+        time_left_s = plan.deadline_s - started_at_s
+        if time_left_s <= 0:
             return Shed(report=None, reached_target=False)
-        session = self.unpooled if plan.new_connection else self.pooled
+        session = self.unpooled_session if plan.new_connection else self.pooled_session
         try:
             async with session.request(
                 plan.call.method,
                 URL(f"http://{plan.address}{plan.call.path}", encoded=True),
-                headers=_headers_to_target(plan, left_s),
+                headers=_build_request_headers(plan, time_left_s),
                 data=plan.call.body or None,
                 timeout=aiohttp.ClientTimeout(
-                    total=left_s, sock_connect=CONNECT_TIMEOUT_S
+                    total=time_left_s, sock_connect=CONNECT_TIMEOUT_S
                 ),
                 allow_redirects=False,
-                middlewares=(_SendOnce(),),
+                middlewares=(_SendOnceMiddleware(),),
             ) as response:
                 first_byte_ms = (self.clock.now_s() - started_at_s) * MS_PER_S
-                return await self._read_answer(response, first_byte_ms)
+                return await self._read_response(response, first_byte_ms)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
             return Shed(report=None, reached_target=False)
         except TimeoutError:
@@ -181,32 +185,32 @@
         except (aiohttp.ClientError, OSError):
             return Lost(Reason.CONNECTION_LOST)
 
-    async def _read_answer(
+    async def _read_response(
         self, response: aiohttp.ClientResponse, first_byte_ms: float
     ) -> AttemptOutcome:
         report = parse_load_report(response.headers.get(LOAD_HEADER))
         shed = response.headers.get(NOT_RUN_HEADER) == "1"
         if shed and response.status == HTTPStatus.SERVICE_UNAVAILABLE:
             return Shed(report=report, reached_target=True)
-        body = await response.content.read(self.answer_limit_bytes + 1)
+        body = await response.content.read(self.response_limit_bytes + 1)
         while not response.content.at_eof():
-            body += await response.content.read(self.answer_limit_bytes + 1)
-            if len(body) > self.answer_limit_bytes:
+            body += await response.content.read(self.response_limit_bytes + 1)
+            if len(body) > self.response_limit_bytes:
                 response.close()
                 return Lost(Reason.ANSWER_TOO_LARGE)
-        # The library's names are of a class of its own, which no codec knows.
+        # aiohttp's header names are of a subclass of str that msgspec can't encode.
         headers = tuple(
             (str(name), value)
-            for name, value in _forwarded(response.headers.items())
-            if not name.lower().startswith(OWN_PREFIX)
+            for name, value in _select_forwarded(response.headers.items())
+            if not name.lower().startswith(OWN_HEADER_PREFIX)
         )
         answer = Answer(response.status, headers, body)
         return Answered(answer, report, first_byte_ms)
 
     async def probe(self, address: str) -> LoadReport | None:
-        """Ask a target for its load, or return None when it doesn't answer."""
+        """Return the load that a target reports, or None without a valid response."""
         try:
-            async with self.unpooled.get(
+            async with self.unpooled_session.get(
                 f"http://{address}/-/health",
                 timeout=aiohttp.ClientTimeout(total=PROBE_TIMEOUT_S),
             ) as response:
@@ -218,13 +222,13 @@
 
     async def close(self) -> None:
         """Close all connections."""
-        await self.pooled.close()
-        await self.unpooled.close()
+        await self.pooled_session.close()
+        await self.unpooled_session.close()
 
 
-def _forwarded(headers: Collection[Header]) -> list[Header]:
-    """Return the headers that don't concern one connection only."""
-    hops = {
+def _select_forwarded(headers: Collection[Header]) -> list[Header]:
+    """Return the headers that are forwarded, without hop-by-hop headers."""
+    hop_by_hop = {
         token.strip().lower()
         for name, value in headers
         if name.lower() == CONNECTION_HEADER
@@ -233,13 +237,13 @@
     return [
         (name, value)
         for name, value in headers
-        if name.lower() not in NOT_FORWARDED and name.lower() not in hops
+        if name.lower() not in NOT_FORWARDED_HEADERS and name.lower() not in hop_by_hop
     ]
 
 
-def _headers_to_target(plan: AttemptPlan, left_s: float) -> CIMultiDict[str]:
-    headers = CIMultiDict(_forwarded(plan.call.headers))
-    headers[DEADLINE_HEADER] = str(int(left_s * MS_PER_S))
+def _build_request_headers(plan: AttemptPlan, time_left_s: float) -> CIMultiDict[str]:
+    headers = CIMultiDict(_select_forwarded(plan.call.headers))
+    headers[DEADLINE_HEADER] = str(int(time_left_s * MS_PER_S))
     headers[DEADLINE_AT_HEADER] = str(int(plan.deadline_s * MS_PER_S))
     headers[RETRIES_HEADER] = str(plan.retries_left)
     headers[REQUEST_ID_HEADER] = plan.call.call_id
--- a/packages/baobabring/baobabring/targets/tests/test_client.py
+++ b/packages/baobabring/baobabring/targets/tests/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of the client towards targets, against raw sockets on loopback."""
+"""Tests of the client for targets against raw loopback sockets."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -19,30 +19,30 @@
 from baobabring.utils import Clock
 
 RULE = Rule("*", "*", KeyRule.OPTIONAL, 10_000, "order", 1)
-ANSWER_LIMIT_BYTES = 1_000
+RESPONSE_LIMIT_BYTES = 1_000
 
 
 @asynccontextmanager
-async def raw_target(*replies):
-    """Serve one raw reply a connection; yield address and heard requests."""
-    heard = []
+async def raw_target(*responses):
+    """Send one raw response per connection; yield the address and the requests."""
+    requests = []
 
     async def serve(reader, writer):
-        heard.append(await reader.readuntil(b"\r\n\r\n"))
-        writer.write(replies[min(len(heard), len(replies)) - 1])
+        requests.append(await reader.readuntil(b"\r\n\r\n"))
+        writer.write(responses[min(len(requests), len(responses)) - 1])
         await writer.drain()
         writer.close()
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     async with server:
-        yield f"127.0.0.1:{port}", heard
+        yield f"127.0.0.1:{port}", requests
 
 
 async def attempt(address, method="GET", new_connection=False, timeout_s=2.0):
-    """Carry one attempt to an address."""
+    """Send one attempt to an address."""
     clock = Clock()
-    client = create_target_client(4, ANSWER_LIMIT_BYTES, clock)
+    client = create_target_client(4, RESPONSE_LIMIT_BYTES, clock)
     now_s = clock.now_s()
     headers = (
         ("Connection", "close, X-Hop"),
@@ -60,34 +60,34 @@
         await client.close()
 
 
-async def test_whole_answer_is_returned_with_its_load_report():
-    reply = (
+async def test_complete_response_is_returned_with_its_load_report():
+    response = (
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Kind: a\r\n"
         b"Baobab-Load: in_flight=1;slots=2;cold=0;draining=0\r\n"
         b"Baobab-Outcome: unknown\r\n\r\nok"
     )
-    async with raw_target(reply) as (address, heard):
+    async with raw_target(response) as (address, requests):
         outcome = await attempt(address)
     assert isinstance(outcome, Answered)
     assert outcome.answer.body == b"ok"
     assert outcome.answer.headers == (("X-Kind", "a"),)
     assert type(outcome.answer.headers[0][0]) is str
     assert outcome.report == LoadReport(1, 2, cold=False, draining=False)
-    assert heard[0].startswith(b"GET /a%20b?x=1 HTTP/1.1\r\n")
+    assert requests[0].startswith(b"GET /a%20b?x=1 HTTP/1.1\r\n")
 
 
-async def test_own_headers_go_on_and_those_of_the_connection_do_not():
-    reply = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-    async with raw_target(reply) as (address, heard):
+async def test_end_to_end_headers_are_forwarded_and_hop_by_hop_headers_are_not():
+    response = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+    async with raw_target(response) as (address, requests):
         await attempt(address)
-    assert b"X-Own: 1" in heard[0]
-    assert b"Baobab-Tenant: t\r\n" in heard[0]
-    assert b"forged" not in heard[0]
-    assert b"hidden" not in heard[0]
+    assert b"X-Own: 1" in requests[0]
+    assert b"Baobab-Tenant: t\r\n" in requests[0]
+    assert b"forged" not in requests[0]
+    assert b"hidden" not in requests[0]
 
 
 @pytest.mark.parametrize(
-    "reply",
+    "response",
     [
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
@@ -95,22 +95,22 @@
         b"",
     ],
 )
-async def test_answer_that_is_not_whole_is_lost(reply):
-    async with raw_target(reply) as (address, _):
+async def test_incomplete_response_is_lost(response):
+    async with raw_target(response) as (address, _):
         outcome = await attempt(address)
     assert outcome == Lost(Reason.CONNECTION_LOST)
 
 
-async def test_too_large_answer_is_lost():
+async def test_too_large_response_is_lost():
     head = b"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n"
     async with raw_target(head + b"x" * 5_000) as (address, _):
         outcome = await attempt(address)
     assert outcome == Lost(Reason.ANSWER_TOO_LARGE)
 
 
-async def test_explicit_refusal_before_work_is_shed():
-    reply = b"HTTP/1.1 503 Busy\r\nBaobab-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
-    async with raw_target(reply) as (address, _):
+async def test_refusal_with_not_run_header_is_shed():
+    response = b"HTTP/1.1 503 Busy\r\nBaobab-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
+    async with raw_target(response) as (address, _):
         outcome = await attempt(address)
     assert outcome == Shed(report=None, reached_target=True)
 
@@ -123,13 +123,13 @@
 
 @pytest.mark.parametrize("method", ["PUT", "DELETE", "POST", "GET"])
 async def test_request_is_sent_once_when_the_connection_breaks(method):
-    async with raw_target(b"") as (address, heard):
+    async with raw_target(b"") as (address, requests):
         outcome = await attempt(address, method, new_connection=True)
     assert outcome == Lost(Reason.CONNECTION_LOST)
-    assert len(heard) == 1
+    assert len(requests) == 1
 
 
-async def test_silent_target_is_lost_at_the_deadline():
+async def test_attempt_without_response_is_lost_at_the_deadline():
     async def serve(reader, writer):
         await reader.read()
 
@@ -141,5 +141,5 @@
 
 
 @pytest.mark.parametrize("value", [None, "", "in_flight=x", "slots=1;cold=0"])
-def test_unreadable_load_report_is_none(value):
+def test_invalid_load_report_is_none(value):
     assert parse_load_report(value) is None
