--- a/packages/baobabring/baobabring/base/__init__.py
+++ b/packages/baobabring/baobabring/base/__init__.py
@@ -1,4 +1,4 @@
-"""Bases of plug-ins."""
+"""Registry of plug-ins."""
 
 from baobabring.base._registry import Registry
 
--- a/packages/baobabring/baobabring/base/_registry.py
+++ b/packages/baobabring/baobabring/base/_registry.py
@@ -1,4 +1,4 @@
-"""Registry by which plug-ins announce themselves."""
+"""Registry of plug-in classes by name."""
 
 from collections.abc import Callable
 from typing import Generic, TypeVar
@@ -7,12 +7,12 @@
 
 
 class Registry(Generic[T]):
-    """Map names to classes of one kind of plug-in.
+    """Map names to the classes of one kind of plug-in.
 
     Parameters
     ----------
     kind : str
-        What the plug-ins are, for error messages.
+        Kind of plug-in, for error messages.
     """
 
     def __init__(self, kind: str) -> None:
@@ -38,5 +38,5 @@
         return self._classes[name]
 
     def names(self) -> list[str]:
-        """Return the registered names in order."""
+        """Return the registered names, sorted."""
         return sorted(self._classes)
--- a/packages/baobabring/baobabring/base/tests/test_registry.py
+++ b/packages/baobabring/baobabring/base/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""Tests of the registry of plug-ins."""
+"""Tests of the plug-in registry."""
 
 import pytest
 
@@ -15,7 +15,7 @@
     assert registry.get("first") is First
 
 
-def test_get_names_the_known_plugins_on_a_miss():
+def test_get_of_unknown_name_lists_known_names():
     registry = Registry("policy")
     registry.register("first")(object)
     with pytest.raises(ValueError, match="unknown policy 'second'; known: first"):
--- a/packages/baobabring/baobabring/peers/_frames.py
+++ b/packages/baobabring/baobabring/peers/_frames.py
@@ -18,23 +18,23 @@
 from baobabring.probing import SharedProbe
 
 PROTOCOL_VERSION = 2
-# Set in the kind's byte of a frame whose message is compressed.
+# Bit in the second byte of a frame, set if the message is compressed.
 COMPRESSED_FLAG = 0x80
-# Shorter messages hardly shrink.
-COMPRESS_FROM_BYTES = 400
+# Shorter messages hardly get smaller.
+MIN_COMPRESSED_MESSAGE_BYTES = 400
 COMPRESSION_LEVEL = 3
-MESSAGE_LIMIT_BYTES = 16 * 1024 * 1024
+MAX_MESSAGE_BYTES = 16 * 1024 * 1024
 
 
 class StateRequest(msgspec.Struct, array_like=True, frozen=True):
-    """Ask a peer for what the log has shown it."""
+    """Ask a peer for the state that it has applied from the log."""
 
     sender: str
     reply_address: str
 
 
 class StateReply(msgspec.Struct, array_like=True, frozen=True):
-    """Pass on what the log has shown, as payloads of snapshots."""
+    """Send the state applied from the log, as payloads of snapshot records."""
 
     sender: str
     configuration: bytes
@@ -56,7 +56,7 @@
 
 
 class MessageKind(IntEnum):
-    """Tell which message a frame holds."""
+    """Identify the type of the message in a frame."""
 
     HEARTBEAT = 1
     IN_FLIGHT = 2
@@ -70,7 +70,7 @@
     VIEW_DELTA = 10
 
 
-MESSAGE_TYPES = {
+MESSAGE_TYPE_BY_KIND = {
     MessageKind.HEARTBEAT: Heartbeat,
     MessageKind.IN_FLIGHT: InFlightUpdate,
     MessageKind.STATE_REQUEST: StateRequest,
@@ -82,43 +82,45 @@
     MessageKind.VIEW_REQUEST: ViewRequest,
     MessageKind.VIEW_DELTA: ViewDelta,
 }
-KINDS = {message_type: kind for kind, message_type in MESSAGE_TYPES.items()}
+KIND_BY_MESSAGE_TYPE = {
+    message_type: kind for kind, message_type in MESSAGE_TYPE_BY_KIND.items()
+}
 HEADER_BYTES = 2
 
 _encoder = msgspec.msgpack.Encoder()
 _decoders = {
     kind: msgspec.msgpack.Decoder(message_type)
-    for kind, message_type in MESSAGE_TYPES.items()
+    for kind, message_type in MESSAGE_TYPE_BY_KIND.items()
 }
 
 
 @dataclass(frozen=True, slots=True)
 class BadFrame:
-    """Say why a frame can't be read."""
+    """Represent a frame that could not be decoded."""
 
     problem: str
 
 
 def encode_message(message: PeerMessage) -> bytes:
     """Return the frame of a message."""
-    kind = KINDS[type(message)]
+    kind = KIND_BY_MESSAGE_TYPE[type(message)]
     content = _encoder.encode(message)
-    if len(content) < COMPRESS_FROM_BYTES:
+    if len(content) < MIN_COMPRESSED_MESSAGE_BYTES:
         return bytes((PROTOCOL_VERSION, kind)) + content
     header = bytes((PROTOCOL_VERSION, kind | COMPRESSED_FLAG))
     return header + zlib.compress(content, COMPRESSION_LEVEL)
 
 
 def decode_message(frame: bytes) -> PeerMessage | BadFrame:
-    """Return the message in a frame, or what is wrong with the frame."""
+    """Return the message in a frame, or `BadFrame` if it can't be decoded."""
     if len(frame) < HEADER_BYTES:
-        return BadFrame("too short")
+        return BadFrame("frame too short")
     version, kind = frame[0], frame[1] & ~COMPRESSED_FLAG
     if version != PROTOCOL_VERSION:
-        return BadFrame(f"version {version}")
+        return BadFrame(f"unsupported version {version}")
     decoder = _decoders.get(kind)
     if decoder is None:
-        return BadFrame(f"kind {kind}")
+        return BadFrame(f"unknown message kind {kind}")
     content = memoryview(frame)[HEADER_BYTES:]
     try:
         if frame[1] & COMPRESSED_FLAG:
@@ -129,9 +131,9 @@
 
 
 def _decompress(content: memoryview) -> bytes:
-    """Return the content as it was; raises zlib.error for more than the limit."""
+    """Return the decompressed content; raise zlib.error if it is too long."""
     decompressor = zlib.decompressobj()
-    decompressed = decompressor.decompress(content, MESSAGE_LIMIT_BYTES)
+    decompressed = decompressor.decompress(content, MAX_MESSAGE_BYTES)
     if not decompressor.eof:
-        raise zlib.error("cut short, or too long once decompressed")
+        raise zlib.error("truncated, or too long after decompression")
     return decompressed
--- a/packages/baobabring/baobabring/peers/tests/test_frames.py
+++ b/packages/baobabring/baobabring/peers/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Tests of the framing of messages between instances."""
+"""Tests of encoding and decoding messages between instances."""
 
 import zlib
 
@@ -13,7 +13,7 @@
     decode_message,
     encode_message,
 )
-from baobabring.peers._frames import MESSAGE_LIMIT_BYTES
+from baobabring.peers._frames import MAX_MESSAGE_BYTES
 from baobabring.platform import InstanceState
 from baobabring.probing import SharedProbe
 
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda m: type(m).__name__)
-def test_message_survives_its_frame(message):
+def test_decoded_message_equals_encoded_message(message):
     assert decode_message(encode_message(message)) == message
 
 
@@ -42,18 +42,21 @@
 @pytest.mark.parametrize(
     ("frame", "problem"),
     [
-        (b"", "too short"),
-        (b"\x02", "too short"),
-        (b"\x09\x01x", "version 9"),
-        (b"\x02\x63x", "kind 99"),
+        (b"", "frame too short"),
+        (b"\x02", "frame too short"),
+        (b"\x09\x01x", "unsupported version 9"),
+        (b"\x02\x63x", "unknown message kind 99"),
         (b"\x02\x01\xc1", "MessagePack data is malformed"),
         (b"\x02\x01\x91\xa1a", "Expected `array` of at least length 9"),
         (b"\x02\x81xyz", "Error -3"),
-        (b"\x02\x81" + zlib.compress(b"x" * 90)[:-9], "cut short"),
-        (b"\x02\x81" + zlib.compress(bytes(MESSAGE_LIMIT_BYTES + 1)), "too long"),
+        (b"\x02\x81" + zlib.compress(b"x" * 90)[:-9], "truncated"),
+        (
+            b"\x02\x81" + zlib.compress(bytes(MAX_MESSAGE_BYTES + 1)),
+            "too long after decompression",
+        ),
     ],
 )
-def test_bad_frame_is_told_with_its_problem(frame, problem):
+def test_bad_frame_has_its_problem(frame, problem):
     result = decode_message(frame)
     assert isinstance(result, BadFrame)
     assert problem in result.problem
--- a/packages/baobabring/baobabring/platform/__init__.py
+++ b/packages/baobabring/baobabring/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's log and list of instances."""
+"""Access to the platform's log, list of instances, store and settings."""
 
 from baobabring.platform._base import (
     Appended,
@@ -7,10 +7,10 @@
     AppendUnconfirmed,
     EventLog,
     InstanceInfo,
-    InstanceList,
     InstanceState,
     LogRecord,
     Page,
+    PlatformInstanceList,
     ReadFailed,
     ReadOutcome,
 )
@@ -22,7 +22,7 @@
     "Appended",
     "EventLog",
     "InstanceInfo",
-    "InstanceList",
+    "PlatformInstanceList",
     "InstanceState",
     "LogRecord",
     "Page",
--- a/packages/baobabring/baobabring/platform/_base.py
+++ b/packages/baobabring/baobabring/platform/_base.py
@@ -1,4 +1,4 @@
-"""Interfaces to the platform's log and list of instances."""
+"""Interfaces of the platform's log and list of instances."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogRecord:
-    """Hold one record of a stream, with the log's own time of append."""
+    """Represent one record of a stream; the log sets the time of append."""
 
     offset: int
     appended_at_s: float
@@ -16,21 +16,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Appended:
-    """Tell that the log confirmed an append."""
+    """Represent an append that the log confirmed."""
 
     offset: int
 
 
 @dataclass(frozen=True, slots=True)
 class AppendRefused:
-    """Tell that the log certainly did not take the append."""
+    """Represent an append that certainly did not take effect."""
 
     retry_at_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class AppendUnconfirmed:
-    """Tell that no answer came; the append may yet take effect."""
+    """Represent an append with unknown outcome; it may still take effect."""
 
 
 AppendOutcome = Appended | AppendRefused | AppendUnconfirmed
@@ -38,10 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """Hold consecutive records, perhaps not all up to the end of the stream.
+    """Represent consecutive records, possibly not up to the end of the stream.
 
-    `earliest_offset` is that of the first record retained, `next_offset` the one
-    that the next append would get. A reader goes on after the last record given.
+    `earliest_offset` is the offset of the oldest retained record, `next_offset` the
+    one that the next append gets. Readers continue after the last record returned.
     """
 
     earliest_offset: int
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadFailed:
-    """Tell that the log could not be read."""
+    """Represent a failed read of the log or of the list of instances."""
 
     problem: str
 
@@ -66,11 +66,11 @@
     async def append(
         self, stream: str, payload: bytes, deadline_s: float
     ) -> AppendOutcome:
-        """Append one record; never raises for faults of the log."""
+        """Append one record; failures of the log are returned, not raised."""
 
     @abstractmethod
     async def read(self, stream: str, from_offset: int, wait_ms: int) -> ReadOutcome:
-        """Read from an offset on, waiting up to `wait_ms` for a first record."""
+        """Read from an offset on; wait up to `wait_ms` for the first record."""
 
 
 class InstanceState(StrEnum):
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceInfo:
-    """Describe one instance; the address is that of its peer socket."""
+    """Represent one instance and the address of its peer socket."""
 
     instance_id: str
     zone: str
@@ -90,13 +90,13 @@
     state: InstanceState
 
 
-class InstanceList(ABC):
-    """Read the platform's lagging list and keep one's own entry in it."""
+class PlatformInstanceList(ABC):
+    """Read the platform's list, which lags behind, and renew this instance's entry."""
 
     @abstractmethod
     async def read(self) -> tuple[InstanceInfo, ...] | ReadFailed:
-        """Return the list as the platform shows it now."""
+        """Return the platform's current list."""
 
     @abstractmethod
     async def announce(self, instance: InstanceInfo) -> bool:
-        """Renew one's own entry; return whether the platform took it."""
+        """Renew this instance's entry; return whether the platform accepted it."""
--- a/packages/baobabring/baobabring/platform/http.py
+++ b/packages/baobabring/baobabring/platform/http.py
@@ -15,10 +15,10 @@
     AppendUnconfirmed,
     EventLog,
     InstanceInfo,
-    InstanceList,
     InstanceState,
     LogRecord,
     Page,
+    PlatformInstanceList,
     ReadFailed,
     ReadOutcome,
 )
@@ -27,10 +27,10 @@
 READ_TIMEOUT_S = 2.0
 LIST_TIMEOUT_S = 2.0
 DEFAULT_RETRY_AFTER_S = 0.2
-PAGE_RECORDS = 1_000
+MAX_PAGE_RECORDS = 1_000
 INSTANCE_HEADER = "Baobab-Instance"
 
-FAULTS = (
+REQUEST_ERRORS = (
     aiohttp.ClientError,
     asyncio.TimeoutError,
     OSError,
@@ -67,12 +67,12 @@
 
 
 def create_platform_session(instance_id: str) -> aiohttp.ClientSession:
-    """Return the session that both clients share; the caller closes it."""
+    """Return the session for both clients; the caller must close it."""
     return aiohttp.ClientSession(headers={INSTANCE_HEADER: instance_id})
 
 
 class HttpEventLog(EventLog):
-    """Reach the platform's log over HTTP."""
+    """Append to and read from the platform's log over HTTP."""
 
     def __init__(self, session: aiohttp.ClientSession, url: str, clock: Clock) -> None:
         self.session = session
@@ -82,7 +82,7 @@
     async def append(
         self, stream: str, payload: bytes, deadline_s: float
     ) -> AppendOutcome:
-        """Append one record; never raises for faults of the log."""
+        """Append one record; failures of the log are returned, not raised."""
         timeout_s = max(deadline_s - self.clock.now_s(), 0.001)
         try:
             async with self.session.post(
@@ -94,23 +94,26 @@
                     body = await response.read()
                     reply = msgspec.json.decode(body, type=_AppendReply)
                     return Appended(reply.offset)
-                return self._refusal(response)
+                return self._get_failure_outcome(response)
         except aiohttp.ClientConnectorError:
             return AppendRefused(self.clock.now_s() + DEFAULT_RETRY_AFTER_S)
-        except FAULTS:
+        except REQUEST_ERRORS:
             return AppendUnconfirmed()
 
-    def _refusal(self, response: aiohttp.ClientResponse) -> AppendOutcome:
-        # Only these two say for certain that the record was not taken.
-        certain = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
-        if response.status not in certain:
+    def _get_failure_outcome(self, response: aiohttp.ClientResponse) -> AppendOutcome:
+        # Only these two statuses guarantee that the record was not appended.
+        not_appended_statuses = (
+            HTTPStatus.TOO_MANY_REQUESTS,
+            HTTPStatus.SERVICE_UNAVAILABLE,
+        )
+        if response.status not in not_appended_statuses:
             return AppendUnconfirmed()
         return AppendRefused(self.clock.now_s() + _retry_after_s(response))
 
     async def read(self, stream: str, from_offset: int, wait_ms: int) -> ReadOutcome:
-        """Read from an offset on, waiting up to `wait_ms` for a first record."""
+        """Read from an offset on; wait up to `wait_ms` for the first record."""
         timeout_s = READ_TIMEOUT_S + wait_ms / 1_000
-        query = {"from": from_offset, "wait_ms": wait_ms, "max": PAGE_RECORDS}
+        query = {"from": from_offset, "wait_ms": wait_ms, "max": MAX_PAGE_RECORDS}
         try:
             async with self.session.get(
                 f"{self.url}/log/{stream}",
@@ -121,7 +124,7 @@
                 if response.status != HTTPStatus.OK:
                     return ReadFailed(f"status {response.status}")
                 return _to_page(msgspec.json.decode(body, type=_PageReply))
-        except FAULTS as error:
+        except REQUEST_ERRORS as error:
             return ReadFailed(f"{type(error).__name__}: {error}")
 
 
@@ -140,8 +143,8 @@
     return Page(reply.earliest_offset, reply.next_offset, records)
 
 
-class HttpInstanceList(InstanceList):
-    """Reach the platform's list of instances over HTTP."""
+class HttpInstanceList(PlatformInstanceList):
+    """Read and update the platform's list of instances over HTTP."""
 
     def __init__(self, session: aiohttp.ClientSession, url: str) -> None:
         self.session = session
@@ -149,7 +152,7 @@
         self._timeout = aiohttp.ClientTimeout(total=LIST_TIMEOUT_S)
 
     async def read(self) -> tuple[InstanceInfo, ...] | ReadFailed:
-        """Return the list as the platform shows it now."""
+        """Return the platform's current list."""
         try:
             async with self.session.get(
                 f"{self.url}/instances", timeout=self._timeout
@@ -158,7 +161,7 @@
                 if response.status != HTTPStatus.OK:
                     return ReadFailed(f"status {response.status}")
                 reply = msgspec.json.decode(body, type=_ListReply)
-        except FAULTS as error:
+        except REQUEST_ERRORS as error:
             return ReadFailed(f"{type(error).__name__}: {error}")
         return tuple(
             InstanceInfo(e.instance_id, e.zone, e.peer_address, e.state)
@@ -166,7 +169,7 @@
         )
 
     async def announce(self, instance: InstanceInfo) -> bool:
-        """Renew one's own entry; return whether the platform took it."""
+        """Renew this instance's entry; return whether the platform accepted it."""
         entry = _InstanceEntry(
             instance.instance_id,
             instance.zone,
@@ -180,5 +183,5 @@
                 timeout=self._timeout,
             ) as response:
                 return response.status == HTTPStatus.NO_CONTENT
-        except FAULTS:
+        except REQUEST_ERRORS:
             return False
--- a/packages/baobabring/baobabring/platform/node_settings.py
+++ b/packages/baobabring/baobabring/platform/node_settings.py
@@ -1,18 +1,18 @@
-"""The settings file that the platform writes for a process."""
+"""Reader of the settings file that the platform writes for a process."""
 
 import tomllib
 from dataclasses import dataclass
 from pathlib import Path
 
 from baobabring.entry import EntrySettings, FleetLimits
-from baobabring.platform.units import BadValueError, read_duration_ms
+from baobabring.platform.units import InvalidValueError, parse_duration_ms
 
 SETTINGS_VARIABLE = "BAOBABRING_SETTINGS"
 
 
 @dataclass(frozen=True, slots=True)
 class FieldFinding:
-    """Hold one problem with its place in the settings file."""
+    """Represent one problem and its field in the settings file."""
 
     path: Path
     field: str
@@ -23,12 +23,12 @@
 
 
 class InvalidNodeSettingsError(Exception):
-    """Tell everything that is wrong with a settings file.
+    """Raised for a settings file that is not valid, with all findings.
 
     Parameters
     ----------
     findings : list of FieldFinding
-        One for each faulty field.
+        One for each invalid field.
     """
 
     def __init__(self, findings: list[FieldFinding]) -> None:
@@ -36,45 +36,50 @@
         self.findings = findings
 
 
-class _Fields:
-    """Read fields of nested tables and collect what is wrong with them."""
+class _FieldReader:
+    """Read fields of nested tables and collect findings about invalid ones.
+
+    Fields are named by dotted paths.
+    """
 
     def __init__(self, path: Path, tables: dict) -> None:
         self.path = path
         self.findings: list[FieldFinding] = []
         self._tables = tables
 
-    def text(self, place: str) -> str:
-        """Return a text that isn't empty."""
-        value = self._value(place)
+    def get_text(self, field_name: str) -> str:
+        """Return a string that is not empty."""
+        value = self._get_value(field_name)
         if isinstance(value, str) and value:
             return value
-        self._add(place, f"expected a text, got {value!r}")
+        self._add_finding(field_name, f"expected a non-empty string, got {value!r}")
         return ""
 
-    def address(self, place: str) -> str:
+    def get_address(self, field_name: str) -> str:
         """Return an IP address with a port."""
-        value = self._value(place)
+        value = self._get_value(field_name)
         host, _, port = value.rpartition(":") if isinstance(value, str) else ("",) * 3
         if host and port.isdigit() and 0 < int(port) < 65_536:
             return value
-        self._add(place, f"expected an address such as 10.0.0.1:80, got {value!r}")
+        self._add_finding(
+            field_name, f"expected an address such as 10.0.0.1:80, got {value!r}"
+        )
         return ""
 
-    def duration_ms(self, place: str, default_ms: float) -> float:
+    def get_duration_ms(self, field_name: str, default_ms: float) -> float:
         """Return a duration, or the default if the field is absent."""
-        value = self._value(place)
+        value = self._get_value(field_name)
         if value is None:
             return default_ms
         try:
-            return read_duration_ms(value)
-        except BadValueError as error:
-            self._add(place, str(error))
+            return parse_duration_ms(value)
+        except InvalidValueError as error:
+            self._add_finding(field_name, str(error))
             return default_ms
 
-    def number(self, place: str, default: float) -> float:
+    def get_number(self, field_name: str, default: float) -> float:
         """Return a number, or the default if the field is absent."""
-        value = self._value(place)
+        value = self._get_value(field_name)
         if value is None:
             return default
         if (
@@ -83,62 +88,64 @@
             and value >= 0
         ):
             return float(value)
-        self._add(place, f"expected a number >= 0, got {value!r}")
+        self._add_finding(field_name, f"expected a number >= 0, got {value!r}")
         return default
 
-    def first_port(self, place: str) -> int:
-        """Return the first port of a range of two."""
-        value = self._value(place)
-        whole = isinstance(value, list) and len(value) == 2
-        if whole and all(isinstance(port, int) and 0 < port < 65_536 for port in value):
+    def get_first_port(self, field_name: str) -> int:
+        """Return the first port of a range, given as first and last port."""
+        value = self._get_value(field_name)
+        is_pair = isinstance(value, list) and len(value) == 2
+        if is_pair and all(
+            isinstance(port, int) and 0 < port < 65_536 for port in value
+        ):
             return value[0]
-        self._add(place, f"expected two ports, got {value!r}")
+        self._add_finding(field_name, f"expected a list of two ports, got {value!r}")
         return 0
 
-    def _value(self, place: str):
+    def _get_value(self, field_name: str):
         value = self._tables
-        for name in place.split("."):
+        for name in field_name.split("."):
             if not isinstance(value, dict):
                 return None
             value = value.get(name)
         return value
 
-    def _add(self, place: str, problem: str) -> None:
-        self.findings.append(FieldFinding(self.path, place, problem))
+    def _add_finding(self, field_name: str, problem: str) -> None:
+        self.findings.append(FieldFinding(self.path, field_name, problem))
 
 
 def read_node_settings(path: Path) -> EntrySettings:
-    """Read the settings of an entry instance; raises `InvalidNodeSettingsError`."""
+    """Return the settings of an entry instance, or raise `InvalidNodeSettingsError`."""
     try:
         tables = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         raise InvalidNodeSettingsError(
             [FieldFinding(path, "file", str(error))]
         ) from error
-    fields = _Fields(path, tables)
-    ip = fields.text("local-node.ip")
-    peer_port = fields.first_port("network.internal-ports")
+    reader = _FieldReader(path, tables)
+    ip = reader.get_text("local-node.ip")
+    peer_port = reader.get_first_port("network.internal-ports")
     settings = EntrySettings(
-        instance_id=fields.text("local-node.node"),
-        zone=fields.text("local-node.zone"),
-        caller_address=fields.address("network.listen.front"),
-        ready_address=fields.address("network.listen.ready"),
+        instance_id=reader.get_text("local-node.node"),
+        zone=reader.get_text("local-node.zone"),
+        caller_address=reader.get_address("network.listen.front"),
+        ready_address=reader.get_address("network.listen.ready"),
         peer_address=f"{ip}:{peer_port}",
-        store_address=fields.address("platform.platform.address"),
+        store_address=reader.get_address("platform.platform.address"),
         metrics_host=ip,
-        limits=_read_limits(fields),
+        limits=_read_limits(reader),
     )
-    if fields.findings:
-        raise InvalidNodeSettingsError(fields.findings)
+    if reader.findings:
+        raise InvalidNodeSettingsError(reader.findings)
     return settings
 
 
-def _read_limits(fields: _Fields) -> FleetLimits:
-    bounds = "terms.bounds"
+def _read_limits(reader: _FieldReader) -> FleetLimits:
+    table = "terms.bounds"
     return FleetLimits(
-        retry_share=fields.number(f"{bounds}.budget-ratio", 0.2),
-        retry_slack=fields.number(f"{bounds}.budget-slack", 20.0),
-        retry_window_ms=fields.duration_ms(f"{bounds}.budget-window", 10_000.0),
-        probes_per_target_s=fields.number(f"{bounds}.probes-per-s", 60.0),
-        shutdown_ms=fields.duration_ms(f"{bounds}.grace", 6_000.0),
+        retry_share=reader.get_number(f"{table}.budget-ratio", 0.2),
+        retry_slack=reader.get_number(f"{table}.budget-slack", 20.0),
+        retry_window_ms=reader.get_duration_ms(f"{table}.budget-window", 10_000.0),
+        probes_per_target_s=reader.get_number(f"{table}.probes-per-s", 60.0),
+        shutdown_ms=reader.get_duration_ms(f"{table}.grace", 6_000.0),
     )
--- a/packages/baobabring/baobabring/platform/records.py
+++ b/packages/baobabring/baobabring/platform/records.py
@@ -1,4 +1,4 @@
-"""What operators and targets write to the platform's store, decoded."""
+"""Decoding of the records of operators and targets in the platform's store."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -19,23 +19,23 @@
     ZoneReturned,
     ZoneTakenOut,
 )
-from baobabring.platform.units import BadValueError, read_duration_ms
+from baobabring.platform.units import InvalidValueError, parse_duration_ms
 
 OPERATOR_TOPIC = "keyed.op"
 TARGET_TOPIC = "keyed.servers"
-# Our own: where instances announce their addresses.
+# Written by the instances themselves to announce their addresses.
 INSTANCE_TOPIC = "keyed.instances"
 CONFIGURATION_KEY = "config"
 ZONE_OUT_PREFIX = "evacuate/"
-IDEMPOTENT_TYPE = "safe"
-ONCE_TYPE = "unsafe"
+IDEMPOTENT_ROUTE_TYPE = "safe"
+NON_IDEMPOTENT_ROUTE_TYPE = "unsafe"
 READY_STATE = "ready"
 DRAINING_STATE = "draining"
 
 
 @dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """Hold one record; without a value the key has been dropped."""
+    """Represent one record of a key; an empty value means that the key was removed."""
 
     key: str
     value: bytes
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnreadableRecord:
-    """Tell that a record says nothing usable, and why."""
+    """Represent a record that could not be decoded."""
 
     topic: str
     key: str
@@ -52,27 +52,27 @@
     problem: str
 
 
-class _Wire(msgspec.Struct, rename="kebab"):
-    """Base of what lies in the store, whose names have dashes."""
+class _StoredObject(msgspec.Struct, rename="kebab"):
+    """Base of the JSON objects in the store, whose keys are in kebab case."""
 
 
-class _Split(_Wire):
+class _SplitPart(_StoredObject):
     service: str
     weight: float
 
 
-class _Match(_Wire):
+class _Match(_StoredObject):
     path_prefix: str
 
 
-class _Action(_Wire):
+class _Action(_StoredObject):
     timeout: str
     attempts: int
     service: str | None = None
-    traffic_split: list[_Split] | None = None
+    traffic_split: list[_SplitPart] | None = None
 
 
-class _Rule(_Wire):
+class _Rule(_StoredObject):
     name: str
     route_type: str
     target_latency: str
@@ -81,59 +81,59 @@
     priority: int = 0
 
 
-class _Listener(_Wire):
+class _Listener(_StoredObject):
     host: str
     rule_set: list[_Rule]
 
 
-class _Cluster(_Wire):
+class _Cluster(_StoredObject):
     name: str
     health_path: str = "/health"
     max_conns: int = 100
     warmup_per_s: float = 1.0
 
 
-class _Limits(_Wire):
+class _Limits(_StoredObject):
     max_header_bytes: int = 16_384
     max_body_bytes: int = 67_108_864
     header_timeout: str = "3s"
     idle_timeout: str = "15s"
 
 
-class _Configuration(_Wire):
+class _Configuration(_StoredObject):
     version: int
     listeners: list[_Listener]
     clusters: list[_Cluster]
     limits: _Limits = msgspec.field(default_factory=_Limits)
 
 
-class _Info(_Wire):
+class _TargetInfo(_StoredObject):
     service: str
     zone: str
     max_concurrency: int
 
 
-class _Status(_Wire):
+class _TargetStatus(_StoredObject):
     state: str
-    # Counts the registrations since the target's start.
+    # Number of registrations since the target's start.
     seq: int
     warmup_left: str = "0ms"
 
 
-class _Registration(_Wire):
+class _Registration(_StoredObject):
     address: str
-    info: _Info
-    status: _Status
+    info: _TargetInfo
+    status: _TargetStatus
     # Unix milliseconds of the target's start.
     born: int = 0
 
 
-_configurations = msgspec.json.Decoder(_Configuration)
-_registrations = msgspec.json.Decoder(_Registration)
+_configuration_decoder = msgspec.json.Decoder(_Configuration)
+_registration_decoder = msgspec.json.Decoder(_Registration)
 
 
 def decode_operator_record(record: KeyedRecord) -> FleetEvent | UnreadableRecord | None:
-    """Return what an operator's record says, None for keys that don't concern us."""
+    """Return the event of an operator's record, None if it is ignored."""
     if record.key.startswith(ZONE_OUT_PREFIX):
         zone = record.key.removeprefix(ZONE_OUT_PREFIX)
         return ZoneTakenOut(zone) if record.value else ZoneReturned(zone)
@@ -141,31 +141,33 @@
         return None
     try:
         return ConfigurationPublished(_decode_configuration(record.value))
-    except (msgspec.MsgspecError, BadValueError, UnicodeDecodeError) as error:
-        return _unreadable(OPERATOR_TOPIC, record, error)
+    except (msgspec.MsgspecError, InvalidValueError, UnicodeDecodeError) as error:
+        return _create_unreadable_record(OPERATOR_TOPIC, record, error)
 
 
 def decode_target_record(record: KeyedRecord) -> FleetEvent | UnreadableRecord:
-    """Return what a target's record says of it."""
+    """Return the event of a target's record."""
     if not record.value:
         return TargetRemoved(record.key)
     try:
         return TargetRegistered(_decode_target(record))
-    except (msgspec.MsgspecError, BadValueError, UnicodeDecodeError) as error:
-        return _unreadable(TARGET_TOPIC, record, error)
+    except (msgspec.MsgspecError, InvalidValueError, UnicodeDecodeError) as error:
+        return _create_unreadable_record(TARGET_TOPIC, record, error)
 
 
-def _unreadable(topic: str, record: KeyedRecord, error: Exception) -> UnreadableRecord:
+def _create_unreadable_record(
+    topic: str, record: KeyedRecord, error: Exception
+) -> UnreadableRecord:
     return UnreadableRecord(topic, record.key, record.offset, str(error))
 
 
 def _decode_configuration(value: bytes) -> EntryConfiguration:
-    wire = _configurations.decode(value)
+    stored = _configuration_decoder.decode(value)
     limits = CallerLimits(
-        header_limit_bytes=wire.limits.max_header_bytes,
-        body_limit_bytes=wire.limits.max_body_bytes,
-        header_timeout_ms=read_duration_ms(wire.limits.header_timeout),
-        idle_timeout_ms=read_duration_ms(wire.limits.idle_timeout),
+        header_limit_bytes=stored.limits.max_header_bytes,
+        body_limit_bytes=stored.limits.max_body_bytes,
+        header_timeout_ms=parse_duration_ms(stored.limits.header_timeout),
+        idle_timeout_ms=parse_duration_ms(stored.limits.idle_timeout),
     )
     services = {
         cluster.name: EntryService(
@@ -174,61 +176,69 @@
             connection_limit=cluster.max_conns,
             cold_calls_per_s=cluster.warmup_per_s,
         )
-        for cluster in wire.clusters
+        for cluster in stored.clusters
     }
-    return EntryConfiguration(wire.version, tuple(_routes(wire)), services, limits)
+    return EntryConfiguration(
+        stored.version, tuple(_decode_routes(stored)), services, limits
+    )
 
 
-def _routes(wire: _Configuration) -> Iterator[EntryRoute]:
-    for listener in wire.listeners:
+def _decode_routes(stored: _Configuration) -> Iterator[EntryRoute]:
+    for listener in stored.listeners:
         for rule in listener.rule_set:
             yield EntryRoute(
                 route_id=rule.name,
                 host=listener.host.lower(),
                 path_prefix=rule.match.path_prefix,
                 idempotent=_is_idempotent(rule),
-                services=_weighted_services(rule),
-                timeout_ms=read_duration_ms(rule.action.timeout),
-                latency_goal_ms=read_duration_ms(rule.target_latency),
+                services=_decode_services(rule),
+                timeout_ms=parse_duration_ms(rule.action.timeout),
+                latency_goal_ms=parse_duration_ms(rule.target_latency),
                 attempt_limit=max(1, rule.action.attempts),
                 priority=rule.priority,
             )
 
 
 def _is_idempotent(rule: _Rule) -> bool:
-    if rule.route_type not in (IDEMPOTENT_TYPE, ONCE_TYPE):
-        raise BadValueError(f"route {rule.name!r} has the type {rule.route_type!r}")
-    return rule.route_type == IDEMPOTENT_TYPE
+    if rule.route_type not in (IDEMPOTENT_ROUTE_TYPE, NON_IDEMPOTENT_ROUTE_TYPE):
+        raise InvalidValueError(
+            f"route {rule.name!r}: unknown route-type {rule.route_type!r}"
+        )
+    return rule.route_type == IDEMPOTENT_ROUTE_TYPE
 
 
-def _weighted_services(rule: _Rule) -> tuple[WeightedService, ...]:
+def _decode_services(rule: _Rule) -> tuple[WeightedService, ...]:
     if rule.action.traffic_split:
         return tuple(
             WeightedService(part.service, part.weight)
             for part in rule.action.traffic_split
         )
     if rule.action.service is None:
-        raise BadValueError(f"route {rule.name!r} names no service")
+        raise InvalidValueError(f"route {rule.name!r}: action has no service")
     return (WeightedService(rule.action.service, 1.0),)
 
 
 def _decode_target(record: KeyedRecord) -> EntryTarget:
-    wire = _registrations.decode(record.value)
-    if wire.status.state not in (READY_STATE, DRAINING_STATE):
-        raise BadValueError(f"unknown state {wire.status.state!r}")
-    host, _, port = wire.address.rpartition(":")
+    stored = _registration_decoder.decode(record.value)
+    if stored.status.state not in (READY_STATE, DRAINING_STATE):
+        raise InvalidValueError(f"unknown state {stored.status.state!r}")
+    host, _, port = stored.address.rpartition(":")
     if not host or not port.isdigit():
-        raise BadValueError(f"address {wire.address!r} has no host or port")
-    if wire.info.max_concurrency < 1:
-        raise BadValueError(f"slots must be >= 1, got {wire.info.max_concurrency}")
+        raise InvalidValueError(
+            f"expected HOST:PORT as address, got {stored.address!r}"
+        )
+    if stored.info.max_concurrency < 1:
+        raise InvalidValueError(
+            f"max-concurrency must be >= 1, got {stored.info.max_concurrency}"
+        )
     return EntryTarget(
         target_id=record.key,
-        service_id=wire.info.service,
-        address=wire.address,
-        zone=wire.info.zone,
-        slots=wire.info.max_concurrency,
-        draining=wire.status.state == DRAINING_STATE,
-        sequence=wire.status.seq,
-        started_at_ms=wire.born,
-        cold_ms=read_duration_ms(wire.status.warmup_left),
+        service_id=stored.info.service,
+        address=stored.address,
+        zone=stored.info.zone,
+        slots=stored.info.max_concurrency,
+        draining=stored.status.state == DRAINING_STATE,
+        sequence=stored.status.seq,
+        started_at_ms=stored.born,
+        cold_ms=parse_duration_ms(stored.status.warmup_left),
     )
--- a/packages/baobabring/baobabring/platform/store.py
+++ b/packages/baobabring/baobabring/platform/store.py
@@ -20,15 +20,16 @@
 STATUS_OK = 200
 STATUS_GONE = 410
 KEY_LENGTH_BYTES = 1
-READ_HEAD = struct.Struct(">QQ")
-RECORD_HEAD = struct.Struct(">I")
-# The store sends no header that names a call.
-NO_ID_HEADER = b"x-baobabring-attempt-id"
+# Two numbers ahead of the records; their values are not used.
+READ_RESPONSE_PREFIX = struct.Struct(">QQ")
+RECORD_LENGTH = struct.Struct(">I")
+# A connection requires the name of an id header; the store sends none.
+UNUSED_CALL_ID_HEADER = b"x-baobabring-attempt-id"
 
 
 @dataclass(frozen=True, slots=True)
 class Newest:
-    """Hold the newest record of each key, and where to read on."""
+    """Represent the newest record of each key and the offset of the next read."""
 
     records: tuple[KeyedRecord, ...]
     next_offset: int
@@ -36,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Records:
-    """Hold consecutive records, and where to read on."""
+    """Represent consecutive records and the offset of the next read."""
 
     records: tuple[KeyedRecord, ...]
     next_offset: int
@@ -44,29 +45,29 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryGone:
-    """Tell that the records asked for have been deleted."""
+    """Represent a read of records that were deleted already."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreFailed:
-    """Tell that a call to the store failed."""
+    """Represent a failed call to the store."""
 
     problem: str
 
 
-class _Item(msgspec.Struct):
+class _NewestItem(msgspec.Struct):
     key: str
     offset: int
     value: str = ""
 
 
 class _NewestPage(msgspec.Struct):
-    items: list[_Item]
+    items: list[_NewestItem]
     more: bool
     end: int
 
 
-_pages = msgspec.json.Decoder(_NewestPage)
+_newest_page_decoder = msgspec.json.Decoder(_NewestPage)
 
 
 class StoreClient:
@@ -75,72 +76,76 @@
     Parameters
     ----------
     address : str
-        Where the store is.
+        Host and port of the store.
     pool : ConnectionPool
-        Connections to it.
+        Connections to the store.
     """
 
     def __init__(self, address: str, pool: ConnectionPool) -> None:
         self.address = address
         self.pool = pool
-        self.calls = 0
+        self.call_count = 0
 
     async def newest(self, topic: str) -> Newest | StoreFailed:
         """Return the newest record of each key of a topic."""
         records: list[KeyedRecord] = []
         end = None
-        after = ""
+        after_parameter = ""
         while True:
-            answer = await self._call(
-                "GET", f"/log-newest?topic={topic}&part=0{after}", CALL_TIMEOUT_S
+            response = await self._call(
+                "GET",
+                f"/log-newest?topic={topic}&part=0{after_parameter}",
+                CALL_TIMEOUT_S,
             )
-            if isinstance(answer, StoreFailed):
-                return answer
-            if answer.status != STATUS_OK:
-                return _refused(answer)
+            if isinstance(response, StoreFailed):
+                return response
+            if response.status != STATUS_OK:
+                return _create_status_failure(response)
             try:
-                page = _pages.decode(answer.body)
+                page = _newest_page_decoder.decode(response.body)
                 records += [_decode_item(item) for item in page.items]
             except (msgspec.MsgspecError, ValueError) as error:
                 return StoreFailed(f"unreadable page of {topic}: {error}")
-            # Pages are no snapshot: reading goes on from the end of the first one.
+            # Pages are no snapshot: the next read starts at the end of the first page.
             end = page.end if end is None else end
             if not page.more or not page.items:
                 return Newest(tuple(records), end)
-            after = f"&after={page.items[-1].key}"
+            after_parameter = f"&after={page.items[-1].key}"
 
     async def read(
         self, topic: str, from_offset: int, wait_ms: int
     ) -> Records | HistoryGone | StoreFailed:
-        """Return the records from an offset on, waiting for the first one."""
+        """Return the records from an offset on; wait up to `wait_ms` for the first."""
         path = f"/log-read?topic={topic}&part=0&from={from_offset}&wait-ms={wait_ms}"
-        answer = await self._call("GET", path, CALL_TIMEOUT_S + wait_ms / 1_000)
-        if isinstance(answer, StoreFailed):
-            return answer
-        if answer.status == STATUS_GONE:
+        response = await self._call("GET", path, CALL_TIMEOUT_S + wait_ms / 1_000)
+        if isinstance(response, StoreFailed):
+            return response
+        if response.status == STATUS_GONE:
             return HistoryGone()
-        if answer.status != STATUS_OK:
-            return _refused(answer)
+        if response.status != STATUS_OK:
+            return _create_status_failure(response)
         try:
-            return _decode_records(bytes(answer.body), from_offset)
+            return _decode_records(bytes(response.body), from_offset)
         except (struct.error, ValueError) as error:
             return StoreFailed(f"unreadable records of {topic}: {error}")
 
     async def put(self, topic: str, key: str, value: bytes) -> StoreFailed | None:
-        """Append a record of a key; without a value the key is dropped."""
-        name = key.encode()
-        content = bytes([len(name)]) + name + value
-        body = RECORD_HEAD.pack(len(content)) + content
+        """Append a record of a key; an empty value removes the key."""
+        key_bytes = key.encode()
+        content = bytes([len(key_bytes)]) + key_bytes + value
+        body = RECORD_LENGTH.pack(len(content)) + content
         path = f"/log-append?topic={topic}&part=0"
-        answer = await self._call("POST", path, CALL_TIMEOUT_S, body)
-        if isinstance(answer, StoreFailed):
-            return answer
-        return None if answer.status == STATUS_OK else _refused(answer)
+        response = await self._call("POST", path, CALL_TIMEOUT_S, body)
+        if isinstance(response, StoreFailed):
+            return response
+        return (
+            None if response.status == STATUS_OK else _create_status_failure(response)
+        )
 
     async def _call(
         self, method: str, path: str, timeout_s: float, body: bytes = b""
     ) -> HttpResponse | StoreFailed:
-        self.calls += 1
+        self.call_count += 1
         head = f"{method} {path} HTTP/1.1\r\nhost: {self.address}\r\n"
         if method == "POST":
             head += f"content-length: {len(body)}\r\n"
@@ -149,44 +154,46 @@
         try:
             async with asyncio.timeout(timeout_s):
                 connection = await self.pool.acquire(self.address)
-                answer = await connection.exchange(request, NO_ID_HEADER, None)
+                response = await connection.exchange(
+                    request, UNUSED_CALL_ID_HEADER, None
+                )
         except (TimeoutError, ConnectError, ExchangeError) as error:
             return StoreFailed(f"{method} {path}: {error!r}")
         finally:
-            # A connection on which an answer was lost gives nothing more.
+            # A connection with an outstanding response can't be used again.
             if connection is not None and connection.busy:
                 connection.abandon()
         self.pool.return_connection(self.address, connection)
-        return answer
+        return response
 
 
-def _refused(answer: HttpResponse) -> StoreFailed:
-    return StoreFailed(f"status {answer.status}")
+def _create_status_failure(response: HttpResponse) -> StoreFailed:
+    return StoreFailed(f"status {response.status}")
 
 
-def _decode_item(item: _Item) -> KeyedRecord:
+def _decode_item(item: _NewestItem) -> KeyedRecord:
     return KeyedRecord(item.key, base64.b64decode(item.value), item.offset)
 
 
 def _decode_records(data: bytes, from_offset: int) -> Records:
-    READ_HEAD.unpack_from(data)
-    position = READ_HEAD.size
+    READ_RESPONSE_PREFIX.unpack_from(data)
+    position = READ_RESPONSE_PREFIX.size
     offset = from_offset
     records = []
     while position < len(data):
-        (length,) = RECORD_HEAD.unpack_from(data, position)
-        position += RECORD_HEAD.size
+        (length,) = RECORD_LENGTH.unpack_from(data, position)
+        position += RECORD_LENGTH.size
         content = data[position : position + length]
         if len(content) < length:
-            raise ValueError("a record is cut short")
+            raise ValueError("record is truncated")
         position += length
-        records.append(_decode_keyed(content, offset))
+        records.append(_decode_keyed_record(content, offset))
         offset += 1
     return Records(tuple(records), offset)
 
 
-def _decode_keyed(content: bytes, offset: int) -> KeyedRecord:
-    """Split a record into key and value; one without a key concerns nobody."""
+def _decode_keyed_record(content: bytes, offset: int) -> KeyedRecord:
+    """Split a record into key and value; the key may be empty."""
     key_length = content[0] if content else 0
     value_start = KEY_LENGTH_BYTES + key_length
     key = content[KEY_LENGTH_BYTES:value_start].decode("utf-8", "replace")
--- a/packages/baobabring/baobabring/platform/tests/test_http.py
+++ b/packages/baobabring/baobabring/platform/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Tests of the clients of the platform against a raw server on loopback."""
+"""Tests of the platform's clients against a server that sends raw responses."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -26,12 +26,12 @@
 
 
 @asynccontextmanager
-async def platform(reply: bytes):
-    """Answer every request with one raw reply; yield the URL."""
+async def serve_platform(response: bytes):
+    """Send the same raw response to every request; yield the URL."""
 
     async def serve(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(reply)
+        writer.write(response)
         await writer.drain()
         writer.close()
 
@@ -40,71 +40,77 @@
         yield f"http://127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
 
-def http(status: str, body: bytes = b"", *headers: str) -> bytes:
-    """Return a raw answer."""
+def build_response(status: str, body: bytes = b"", *headers: str) -> bytes:
+    """Return a raw response."""
     lines = [f"HTTP/1.1 {status}", f"Content-Length: {len(body)}", *headers, "", ""]
     return "\r\n".join(lines).encode() + body
 
 
-async def append(reply: bytes):
-    """Append one record to a platform that gives this reply."""
+async def append_record(response: bytes):
+    """Append one record at a platform that sends this response."""
     clock = Clock()
-    async with platform(reply) as url, create_platform_session("i") as session:
+    async with serve_platform(response) as url, create_platform_session("i") as session:
         log = HttpEventLog(session, url, clock)
         return await log.append("s", b"x", clock.now_s() + 1)
 
 
-async def read(reply: bytes):
-    """Read from a platform that gives this reply."""
-    async with platform(reply) as url, create_platform_session("i") as session:
+async def read_page(response: bytes):
+    """Read from a platform that sends this response."""
+    async with serve_platform(response) as url, create_platform_session("i") as session:
         return await HttpEventLog(session, url, Clock()).read("s", 0, WAIT_MS)
 
 
 async def test_confirmed_append_has_its_offset():
-    assert await append(http("201 Created", b'{"offset": 7}')) == Appended(7)
+    assert await append_record(
+        build_response("201 Created", b'{"offset": 7}')
+    ) == Appended(7)
 
 
 @pytest.mark.parametrize("status", ["429 Too Many", "503 Unavailable"])
-async def test_refusal_says_when_to_come_back(status):
-    assert isinstance(await append(http(status, b"", "Retry-After: 1")), AppendRefused)
+async def test_append_with_rejecting_status_is_refused(status):
+    assert isinstance(
+        await append_record(build_response(status, b"", "Retry-After: 1")),
+        AppendRefused,
+    )
 
 
 @pytest.mark.parametrize(
-    "reply", [b"", http("500 Broken"), http("201 Created", b"garbage")]
+    "response",
+    [b"", build_response("500 Broken"), build_response("201 Created", b"garbage")],
 )
-async def test_append_without_a_clear_answer_is_unconfirmed(reply):
-    assert await append(reply) == AppendUnconfirmed()
+async def test_append_with_other_status_or_invalid_body_is_unconfirmed(response):
+    assert await append_record(response) == AppendUnconfirmed()
 
 
 async def test_page_is_read():
     record = b'{"offset": 3, "appended_at_s": 1.5, "payload": "aGk="}'
     body = b'{"earliest_offset": 3, "next_offset": 9, "records": [' + record + b"]}"
     expected = Page(3, 9, (LogRecord(3, 1.5, b"hi"),))
-    assert await read(http("200 OK", body)) == expected
+    assert await read_page(build_response("200 OK", body)) == expected
 
 
 @pytest.mark.parametrize(
-    "reply",
+    "response",
     [
         b"",
-        http("503 Unavailable"),
-        http("200 OK", b"{}"),
-        http(
+        build_response("503 Unavailable"),
+        build_response("200 OK", b"{}"),
+        build_response(
             "200 OK",
             b'{"earliest_offset": 0, "next_offset": 1, "records": '
             b'[{"offset": 0, "appended_at_s": 1.5, "payload": "a"}]}',
         ),
     ],
 )
-async def test_unreadable_page_is_a_failed_read(reply):
-    assert isinstance(await read(reply), ReadFailed)
+async def test_unreadable_page_is_a_failed_read(response):
+    assert isinstance(await read_page(response), ReadFailed)
 
 
 async def test_list_is_read():
     entry = (
         b'{"instance_id": "a", "zone": "z", "peer_address": "p", "state": "leaving"}'
     )
-    reply = http("200 OK", b'{"instances": [' + entry + b"]}")
-    async with platform(reply) as url, create_platform_session("i") as session:
+    response = build_response("200 OK", b'{"instances": [' + entry + b"]}")
+    async with serve_platform(response) as url, create_platform_session("i") as session:
         entries = await HttpInstanceList(session, url).read()
     assert entries == (InstanceInfo("a", "z", "p", InstanceState.LEAVING),)
--- a/packages/baobabring/baobabring/platform/tests/test_node_settings.py
+++ b/packages/baobabring/baobabring/platform/tests/test_node_settings.py
@@ -1,4 +1,4 @@
-"""Test the reading of the platform's settings file."""
+"""Tests of reading the platform's settings file."""
 
 import pytest
 
@@ -29,7 +29,7 @@
 """
 
 
-def write(path, text: str):
+def write_file(path, text: str):
     """Write a settings file and return its path."""
     file = path / "node.toml"
     file.write_text(text)
@@ -37,7 +37,7 @@
 
 
 def test_settings_are_read(tmp_path):
-    settings = read_node_settings(write(tmp_path, TEXT))
+    settings = read_node_settings(write_file(tmp_path, TEXT))
     assert settings.instance_id == "front-a-1"
     assert settings.peer_address == "127.0.0.1:7200"
     assert settings.store_address == "127.0.0.1:8384"
@@ -45,11 +45,11 @@
     assert settings.limits.retry_slack == 56
 
 
-def test_all_faulty_fields_are_named(tmp_path):
+def test_all_invalid_fields_are_reported(tmp_path):
     text = TEXT.replace('"127.0.0.1:8384"', '"nowhere"')
     text = text.replace('"6s"', '"six"').replace('zone = "north"', "")
     with pytest.raises(InvalidNodeSettingsError) as raised:
-        read_node_settings(write(tmp_path, text))
+        read_node_settings(write_file(tmp_path, text))
     fields = {finding.field for finding in raised.value.findings}
     assert fields == {
         "platform.platform.address",
@@ -58,12 +58,12 @@
     }
 
 
-def test_file_that_is_no_toml_is_named(tmp_path):
-    file = write(tmp_path, "[local-node")
+def test_file_with_invalid_toml_is_reported(tmp_path):
+    file = write_file(tmp_path, "[local-node")
     with pytest.raises(InvalidNodeSettingsError, match="node.toml: file"):
         read_node_settings(file)
 
 
-def test_missing_file_is_named(tmp_path):
+def test_missing_file_is_reported(tmp_path):
     with pytest.raises(InvalidNodeSettingsError, match="none.toml"):
         read_node_settings(tmp_path / "none.toml")
--- a/packages/baobabring/baobabring/platform/tests/test_records.py
+++ b/packages/baobabring/baobabring/platform/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Test the decoding of what lies in the platform's store."""
+"""Tests of decoding records of the platform's store."""
 
 import json
 
@@ -69,15 +69,15 @@
 }
 
 
-def record(key, value) -> KeyedRecord:
-    """Return a record with a value as JSON."""
+def build_record(key, value) -> KeyedRecord:
+    """Return a record with a JSON value; bytes are stored unchanged."""
     data = value if isinstance(value, bytes) else json.dumps(value).encode()
     return KeyedRecord(key, data, 3)
 
 
-def changed(value, *path_and_new):
-    """Return a deep copy with one field changed; None removes it."""
-    *path, new = path_and_new
+def replace_field(value, *path_and_value):
+    """Return a deep copy with one field replaced; None removes the field."""
+    *path, new = path_and_value
     copy = json.loads(json.dumps(value))
     place = copy
     for name in path[:-1]:
@@ -90,7 +90,7 @@
 
 
 def test_registration_is_decoded():
-    event = decode_target_record(record("i-1", REGISTRATION))
+    event = decode_target_record(build_record("i-1", REGISTRATION))
     assert isinstance(event, TargetRegistered)
     target = event.target
     assert (target.target_id, target.service_id, target.zone) == ("i-1", "s", "north")
@@ -99,8 +99,8 @@
     assert not target.draining
 
 
-def test_removed_key_removes_the_target():
-    assert decode_target_record(record("i-1", b"")) == TargetRemoved("i-1")
+def test_empty_value_removes_the_target():
+    assert decode_target_record(build_record("i-1", b"")) == TargetRemoved("i-1")
 
 
 @pytest.mark.parametrize(
@@ -109,25 +109,25 @@
         b"\xff\xfe",
         b"{",
         b"[]",
-        changed(REGISTRATION, "address", None),
-        changed(REGISTRATION, "address", "nowhere"),
-        changed(REGISTRATION, "status", "state", "asleep"),
-        changed(REGISTRATION, "status", "seq", "4"),
-        changed(REGISTRATION, "status", "warmup-left", "soon"),
-        changed(REGISTRATION, "info", "max-concurrency", 0),
-        changed(REGISTRATION, "info", "max-concurrency", None),
-        changed(REGISTRATION, "born", "yesterday"),
+        replace_field(REGISTRATION, "address", None),
+        replace_field(REGISTRATION, "address", "nowhere"),
+        replace_field(REGISTRATION, "status", "state", "asleep"),
+        replace_field(REGISTRATION, "status", "seq", "4"),
+        replace_field(REGISTRATION, "status", "warmup-left", "soon"),
+        replace_field(REGISTRATION, "info", "max-concurrency", 0),
+        replace_field(REGISTRATION, "info", "max-concurrency", None),
+        replace_field(REGISTRATION, "born", "yesterday"),
     ],
 )
-def test_faulty_registration_names_no_target(value):
-    event = decode_target_record(record("i-1", value))
+def test_invalid_registration_is_unreadable(value):
+    event = decode_target_record(build_record("i-1", value))
     assert isinstance(event, UnreadableRecord)
     assert event.key == "i-1"
     assert event.problem
 
 
 def test_configuration_is_decoded():
-    event = decode_operator_record(record("config", CONFIGURATION))
+    event = decode_operator_record(build_record("config", CONFIGURATION))
     assert isinstance(event, ConfigurationPublished)
     first, second = event.configuration.routes
     assert event.configuration.version == 7
@@ -147,24 +147,26 @@
     "value",
     [
         b"no",
-        changed(CONFIGURATION, "version", "7"),
-        changed(CONFIGURATION, "listeners", 0, "rule-set", 0, "route-type", "odd"),
-        changed(
+        replace_field(CONFIGURATION, "version", "7"),
+        replace_field(
+            CONFIGURATION, "listeners", 0, "rule-set", 0, "route-type", "odd"
+        ),
+        replace_field(
             CONFIGURATION, "listeners", 0, "rule-set", 1, "action", "service", None
         ),
     ],
 )
-def test_faulty_configuration_is_ignored(value):
-    event = decode_operator_record(record("config", value))
+def test_invalid_configuration_is_unreadable(value):
+    event = decode_operator_record(build_record("config", value))
     assert isinstance(event, UnreadableRecord)
 
 
 def test_zone_is_taken_out_and_returned():
-    out = decode_operator_record(record("evacuate/north", {}))
+    out = decode_operator_record(build_record("evacuate/north", {}))
     assert out == ZoneTakenOut("north")
-    back = decode_operator_record(record("evacuate/north", b""))
+    back = decode_operator_record(build_record("evacuate/north", b""))
     assert back == ZoneReturned("north")
 
 
-def test_other_keys_of_operators_concern_nobody():
-    assert decode_operator_record(record("note", {"a": 1})) is None
+def test_other_operator_keys_are_ignored():
+    assert decode_operator_record(build_record("note", {"a": 1})) is None
--- a/packages/baobabring/baobabring/platform/tests/test_wire.py
+++ b/packages/baobabring/baobabring/platform/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Test what is sent to targets and read from them."""
+"""Tests of requests to targets and of parsing their responses."""
 
 import pytest
 
@@ -8,8 +8,8 @@
 from baobabring.platform import wire
 
 
-def answer(status=200, body=b"", **headers) -> HttpResponse:
-    """Return an answer; header names are given with underscores."""
+def build_response(status=200, body=b"", **headers) -> HttpResponse:
+    """Return a response; underscores in header names become dashes."""
     pairs = [
         (name.replace("_", "-").encode(), value.encode())
         for name, value in headers.items()
@@ -18,11 +18,11 @@
 
 
 def build_request(**changes):
-    """Return the request bytes of a call with some fields changed."""
+    """Return the encoded request of a call with some fields replaced."""
     call = build_call()
     fields = {name: getattr(call, name) for name in call.__dataclass_fields__}
     fields.update(changes)
-    return wire.request_to_target(type(call)(**fields), build_target(), 812.7)
+    return wire.build_target_request(type(call)(**fields), build_target(), 812.7)
 
 
 def test_request_keeps_method_path_body_and_caller_headers():
@@ -44,7 +44,7 @@
     assert b"content-length: 4" in lines
 
 
-def test_request_hands_on_the_time_left_and_the_target():
+def test_request_has_own_time_left_and_target_headers():
     headers = (
         (b"x-baobabring-deadline-ms", b"9999"),
         (b"x-baobabring-target-instance", b"forged"),
@@ -55,7 +55,7 @@
     assert not any(b"9999" in line or b"forged" in line for line in lines)
 
 
-def test_headers_of_one_connection_are_not_sent_on():
+def test_hop_by_hop_headers_are_not_forwarded():
     headers = (
         (b"connection", b"close, X-Hop"),
         (b"x-hop", b"1"),
@@ -81,36 +81,40 @@
     ],
 )
 def test_load_header(value, report):
-    assert wire.read_load(answer(x_baobabring_upstream_load=value)) == report
+    assert wire.parse_load(build_response(x_baobabring_upstream_load=value)) == report
 
 
-def test_health_of_another_target_is_no_answer():
-    other = answer(x_baobabring_instance_id="t-9")
-    assert wire.read_health_answer(other, "t-1", 0.0) is None
-    assert wire.read_health_answer(answer(), "t-1", 0.0) is None
+def test_health_response_of_another_target_is_ignored():
+    other = build_response(x_baobabring_instance_id="t-9")
+    assert wire.parse_health_response(other, "t-1", 0.0) is None
+    assert wire.parse_health_response(build_response(), "t-1", 0.0) is None
 
 
-def test_health_tells_how_long_the_target_is_cold():
-    own = answer(503, x_baobabring_instance_id="t-1", x_baobabring_warmup_ms="900")
-    report = wire.read_health_answer(own, "t-1", 0.0)
+def test_health_report_has_remaining_cold_time():
+    own = build_response(
+        503, x_baobabring_instance_id="t-1", x_baobabring_warmup_ms="900"
+    )
+    report = wire.parse_health_response(own, "t-1", 0.0)
     assert not report.healthy
     assert report.cold_ms == 900.0
 
 
-def test_only_a_statement_says_not_run():
-    assert wire.says_not_run(answer(503, x_baobabring_not_executed="1"))
-    assert wire.says_not_run(answer(421, x_baobabring_instance_id="t-9"))
-    assert not wire.says_not_run(answer(503))
-    assert not wire.says_not_run(answer(503, x_baobabring_upstream_signature="s"))
+def test_not_run_needs_header_or_unsigned_421():
+    assert wire.is_not_run_response(build_response(503, x_baobabring_not_executed="1"))
+    assert wire.is_not_run_response(build_response(421, x_baobabring_instance_id="t-9"))
+    assert not wire.is_not_run_response(build_response(503))
+    assert not wire.is_not_run_response(
+        build_response(503, x_baobabring_upstream_signature="s")
+    )
 
 
-def test_answer_keeps_proof_and_loses_what_targets_tell_instances():
-    given = answer(
+def test_response_headers_keep_signature_but_not_load():
+    response = build_response(
         x_baobabring_upstream_signature="s",
         x_baobabring_upstream_load="1,0,2",
         connection="keep-alive",
         content_length="0",
         content_type="text/plain",
     )
-    names = {name for name, _ in wire.headers_to_caller(given)}
+    names = {name for name, _ in wire.filter_response_headers(response)}
     assert names == {b"x-baobabring-upstream-signature", b"content-type"}
--- a/packages/baobabring/baobabring/program/_membership_task.py
+++ b/packages/baobabring/baobabring/program/_membership_task.py
@@ -14,7 +14,12 @@
     Membership,
     MemberState,
 )
-from baobabring.platform import InstanceInfo, InstanceList, InstanceState, ReadFailed
+from baobabring.platform import (
+    InstanceInfo,
+    InstanceState,
+    PlatformInstanceList,
+    ReadFailed,
+)
 from baobabring.program._metrics import CONFIRMED_AGE
 from baobabring.program._peer_link import PeerLink
 from baobabring.utils import Clock
@@ -36,7 +41,7 @@
         info: InstanceInfo,
         membership: Membership,
         tracker: ConfirmationTracker,
-        instances: InstanceList,
+        instances: PlatformInstanceList,
         link: PeerLink,
         clock: Clock,
         heartbeat_interval_s: float,
--- a/packages/baobabring/baobabring/program/_peer_link.py
+++ b/packages/baobabring/baobabring/program/_peer_link.py
@@ -47,7 +47,7 @@
     def set_peers(self, addresses: frozenset[str]) -> None:
         """Take the addresses that broadcasts go to."""
         self._addresses = addresses
-        self.transport.keep_only(addresses)
+        self.transport.disconnect_except(addresses)
 
     def broadcast(self, message: PeerMessage) -> None:
         """Send a message to every peer."""
--- a/packages/baobabring/baobabring/program/entry/_call_runner.py
+++ b/packages/baobabring/baobabring/program/entry/_call_runner.py
@@ -20,7 +20,7 @@
     Undetermined,
     WeightedRoundRobin,
 )
-from baobabring.platform.wire import read_caller_headers
+from baobabring.platform.wire import parse_caller_headers
 from baobabring.program.entry._forwarder import Forwarder
 from baobabring.program.entry._metrics import ENTRY_CALL_SECONDS, ENTRY_CALLS
 from baobabring.program.entry._progress import CallProgress
@@ -126,7 +126,7 @@
         route = self._table.match(request.host, path)
         if route is None:
             return Rejected(CallProblem.NO_ROUTE)
-        headers = read_caller_headers(request.headers)
+        headers = parse_caller_headers(request.headers)
         wait_ms = route.timeout_ms
         if headers.time_left_ms is not None:
             wait_ms = min(wait_ms, headers.time_left_ms)
@@ -157,7 +157,7 @@
         future = asyncio.get_running_loop().create_future()
         future.set_result(outcome)
         ENTRY_CALLS.labels("", _outcome_name(outcome)).inc()
-        call_id = read_caller_headers(request.headers).call_id or b""
+        call_id = parse_caller_headers(request.headers).call_id or b""
         LOG.info(
             "call ended",
             call=call_id.decode("latin-1"),
--- a/packages/baobabring/baobabring/program/entry/_forwarder.py
+++ b/packages/baobabring/baobabring/program/entry/_forwarder.py
@@ -29,11 +29,11 @@
 )
 from baobabring.platform.wire import (
     CALL_ID_HEADER,
-    from_target_program,
-    headers_to_caller,
-    read_load,
-    request_to_target,
-    says_not_run,
+    build_target_request,
+    filter_response_headers,
+    has_target_signature,
+    is_not_run_response,
+    parse_load,
 )
 from baobabring.program.entry._failure_counts import FailureCounts
 from baobabring.program.entry._metrics import ENTRY_ATTEMPTS
@@ -150,7 +150,7 @@
         connection = assignment.probe.connection
         now_s = self.clock.now_s()
         time_left_ms = (call.deadline_s - now_s) * MS_PER_S
-        request = request_to_target(call, target, time_left_ms)
+        request = build_target_request(call, target, time_left_ms)
         progress.tried.append(target.target_id)
         progress.sent = True
         self.ranker.record_call_sent(target.target_id, now_s)
@@ -194,7 +194,7 @@
                 return AttemptNotRun()
             return AttemptLost(CallProblem.CONNECTION_LOST)
         now_s = self.clock.now_s()
-        load = read_load(response)
+        load = parse_load(response)
         if load is not None:
             assignment.record.record_load(load, now_s)
         return self._read_response(call, assignment, response, now_s - sent_at_s)
@@ -206,16 +206,16 @@
         response: HttpResponse,
         took_s: float,
     ) -> AttemptEnd:
-        if says_not_run(response):
+        if is_not_run_response(response):
             return AttemptNotRun()
-        if not from_target_program(response):
+        if not has_target_signature(response):
             return AttemptLost(CallProblem.BAD_ANSWER)
         offer = assignment.offer
         if response.status in SUCCESS_STATUSES and offer.has_free_slot:
             self.ranker.estimates.record_work(
                 call, took_s * MS_PER_S, offer.slowdown, offer.saturated
             )
-        headers = tuple(headers_to_caller(response))
+        headers = tuple(filter_response_headers(response))
         return AttemptAnswered(
             TargetResponse(response.status, headers, bytes(response.body))
         )
--- a/packages/baobabring/baobabring/program/entry/_instance.py
+++ b/packages/baobabring/baobabring/program/entry/_instance.py
@@ -41,7 +41,7 @@
 from baobabring.program.entry._settings_task import SettingsTask
 from baobabring.program.entry._view_task import ViewTask
 from baobabring.retries import RetryBudget, RetrySettings
-from baobabring.utils import RunningClock
+from baobabring.utils import BoottimeClock
 
 LOG = logbook.Logger("instance")
 
@@ -65,7 +65,7 @@
     def __init__(self, settings: EntrySettings, path: Path, rng: Random) -> None:
         self.settings = settings
         self.settings_task = SettingsTask(path, settings, self._apply_settings)
-        self.clock = RunningClock()
+        self.clock = BoottimeClock()
         self.link = PeerLink(create_peer_transport(settings.peer_address, None))
         now_s = self.clock.now_s()
         self.shared_view = SharedView(settings.instance_id, settings.peer_address)
--- a/packages/baobabring/baobabring/program/entry/_prober.py
+++ b/packages/baobabring/baobabring/program/entry/_prober.py
@@ -14,8 +14,8 @@
 from baobabring.entry import HealthReport, TargetRecord
 from baobabring.platform.wire import (
     CALL_ID_HEADER,
-    health_request,
-    read_health_answer,
+    build_health_request,
+    parse_health_response,
 )
 from baobabring.program.entry._metrics import PROBES
 from baobabring.utils import Clock
@@ -82,7 +82,7 @@
         self, record: TargetRecord, health_path: str
     ) -> ProbeResponse | None:
         target = record.target
-        request = health_request(health_path, target.address)
+        request = build_health_request(health_path, target.address)
         probed_at_s = self.clock.now_s()
         PROBES.inc()
         try:
@@ -96,7 +96,7 @@
         except (ConnectError, ExchangeError):
             record.mark_unreachable(self.clock.now_s())
             return None
-        report = read_health_answer(response, target.target_id, probed_at_s)
+        report = parse_health_response(response, target.target_id, probed_at_s)
         if report is None:
             # Another target may have the address now.
             connection.close()
--- a/packages/baobabring/baobabring/settings/_models.py
+++ b/packages/baobabring/baobabring/settings/_models.py
@@ -25,20 +25,20 @@
 
 
 class Section(BaseModel):
-    """Base of all sections: unknown keys are errors, values never change."""
+    """Base of all sections: unknown keys are errors, and instances are immutable."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class InstanceSection(Section):
-    """Name this instance and its availability zone."""
+    """Identify this instance and its availability zone."""
 
     id: Name
     zone: Name
 
 
 class CallersSection(Section):
-    """Set where and how callers are served."""
+    """Set the address for callers, their body limit and the delay before shutdown."""
 
     address: Address
     body_limit_bytes: Count = 1_048_576
@@ -46,7 +46,7 @@
 
 
 class PeersSection(Section):
-    """Set where peers are heard and, with CURVE keys, whom to trust."""
+    """Set the address for peers and the CURVE keys that authenticate them."""
 
     address: Address
     announced_address: Address | None = None
@@ -55,7 +55,7 @@
 
 
 class OperatorsSection(Section):
-    """Set where operators are served and, with certificates, whom to trust."""
+    """Set the address for operators and the certificates for mutual TLS."""
 
     address: Address
     authority_file: Path | None = None
@@ -64,7 +64,7 @@
 
 
 class PlatformSection(Section):
-    """Set where the platform's log and list are and what the log bears."""
+    """Set the URL of the platform and the limits of its log."""
 
     url: Annotated[str, Field(pattern=r"^https?://")]
     log_appends_per_s: Positive = 200
@@ -90,7 +90,7 @@
 
 
 class RetriesSection(Section):
-    """Bound retries and choose when to hedge."""
+    """Limit retries and choose the hedging policy."""
 
     share: Share = 0.1
     hedge: str = "never"
@@ -98,14 +98,14 @@
 
 
 class ProbingSection(Section):
-    """Bound what probes may cost the targets of the whole fleet."""
+    """Limit the cost of probes for the targets of the whole fleet."""
 
     budget_ms_per_s: Positive = 100
     cost_ms: Positive = 6
 
 
 class ClaimsSection(Section):
-    """Set how claims on idempotency keys are kept."""
+    """Set how claims on idempotency keys are stored."""
 
     partitions: Annotated[int, Field(ge=1, le=1024)] = 1
     window_s: Positive = 1_800
@@ -113,14 +113,14 @@
 
 
 class LoggingSection(Section):
-    """Choose form and level of log lines."""
+    """Choose the format and level of log lines."""
 
     format: Annotated[str, Field(pattern=r"^(json|keyvalue)$")] = "keyvalue"
     level: Annotated[str, Field(pattern=r"^(debug|info|warning|error)$")] = "info"
 
 
 class Settings(Section):
-    """Hold all sections of a settings file."""
+    """Represent all sections of a settings file."""
 
     instance: InstanceSection
     callers: CallersSection
--- a/packages/baobabring/baobabring/settings/_reader.py
+++ b/packages/baobabring/baobabring/settings/_reader.py
@@ -1,4 +1,4 @@
-"""Reading of a settings file, with all findings collected."""
+"""Reader of a settings file that collects all findings."""
 
 import configparser
 import difflib
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsFinding:
-    """Hold one problem with its place in a settings file."""
+    """Represent one problem and its location in a settings file."""
 
     path: Path
     line: int | None
@@ -22,7 +22,7 @@
     problem: str
 
     def __str__(self) -> str:
-        """Return the finding as one line for a person."""
+        """Return the finding as one line of text."""
         line = "" if self.line is None else f":{self.line}"
         key = "" if self.key is None else f" {self.key}"
         value = "" if self.value is None else f" = {self.value!r}"
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidSettings:
-    """Hold everything that is wrong with a settings file."""
+    """Represent a settings file that is not valid, with all findings."""
 
     findings: tuple[SettingsFinding, ...]
 
@@ -52,8 +52,8 @@
     try:
         return Settings.model_validate(sections)
     except ValidationError as error:
-        places = _Places(text)
-        findings = [_to_finding(path, places, sections, e) for e in error.errors()]
+        line_index = _LineIndex(text)
+        findings = [_to_finding(path, line_index, sections, e) for e in error.errors()]
         return InvalidSettings(tuple(sorted(findings, key=lambda f: f.line or 0)))
 
 
@@ -62,8 +62,8 @@
     return InvalidSettings((finding,))
 
 
-class _Places:
-    """Find the lines of sections and keys in the text of a settings file."""
+class _LineIndex:
+    """Map sections and keys to their lines in a settings file."""
 
     def __init__(self, text: str) -> None:
         self._lines: dict[tuple[str, str | None], int] = {}
@@ -77,13 +77,13 @@
                 key = stripped.partition("=")[0].strip().lower()
                 self._lines.setdefault((section, key), number)
 
-    def line(self, section: str, key: str | None) -> int | None:
-        """Return the line of a key, or else of its section."""
+    def get_line(self, section: str, key: str | None) -> int | None:
+        """Return the line of a key, or of its section if the key is absent."""
         found = self._lines.get((section, key))
         return found or self._lines.get((section, None))
 
 
-def _to_finding(path, places, sections, error) -> SettingsFinding:
+def _to_finding(path, line_index, sections, error) -> SettingsFinding:
     section = str(error["loc"][0])
     key = str(error["loc"][1]) if len(error["loc"]) > 1 else None
     value = sections.get(section, {}).get(key) if key else None
@@ -93,7 +93,7 @@
     if error["type"] == "missing":
         problem = "missing"
     return SettingsFinding(
-        path, places.line(section, key), section, key, value, problem
+        path, line_index.get_line(section, key), section, key, value, problem
     )
 
 
--- a/packages/baobabring/baobabring/settings/tests/test_reader.py
+++ b/packages/baobabring/baobabring/settings/tests/test_reader.py
@@ -25,7 +25,7 @@
     assert settings.instance.zone == "sapporo"
 
 
-def test_every_finding_is_reported_with_its_place(tmp_path):
+def test_all_findings_are_reported_with_their_location(tmp_path):
     path = tmp_path / "a.ini"
     text = VALID.replace("127.0.0.1:8001", "127.0.0.1:99999")
     text = text.replace("zone = sapporo", "zome = sapporo")
--- a/packages/baobabring/baobabring/utils/__init__.py
+++ b/packages/baobabring/baobabring/utils/__init__.py
@@ -1,5 +1,5 @@
-"""What several parts of the shell share."""
+"""Utilities shared by several packages."""
 
-from baobabring.utils._clock import Clock, RunningClock
+from baobabring.utils._clock import BoottimeClock, Clock
 
-__all__ = ["Clock", "RunningClock"]
+__all__ = ["Clock", "BoottimeClock"]
--- a/packages/baobabring/baobabring/utils/_clock.py
+++ b/packages/baobabring/baobabring/utils/_clock.py
@@ -1,34 +1,34 @@
-"""Clock of an instance."""
+"""Clocks of an instance."""
 
 import time
 
 
 class Clock:
-    """Tell Unix time in seconds that never goes back.
+    """Measure Unix time in seconds that never decreases.
 
-    The system's clock is followed forwards: after a suspension, which the monotonic
-    clock doesn't count, an instance must see that its deadlines have passed.
+    Forward steps of the system clock are followed: after a suspension, which the
+    monotonic clock does not count, an instance must see that its deadlines passed.
     """
 
     def __init__(self) -> None:
         self._offset_s = time.time() - time.monotonic()
 
     def now_s(self) -> float:
-        """Return the time now."""
-        running_s = time.monotonic()
-        self._offset_s = max(self._offset_s, time.time() - running_s)
-        return running_s + self._offset_s
+        """Return the current time in seconds."""
+        monotonic_s = time.monotonic()
+        self._offset_s = max(self._offset_s, time.time() - monotonic_s)
+        return monotonic_s + self._offset_s
 
 
-class RunningClock(Clock):
-    """Tell seconds since the machine's start, suspensions included.
+class BoottimeClock(Clock):
+    """Measure seconds since the machine's start, including suspensions.
 
-    Steps of the time of day don't move it, so that they end no deadline early.
+    Steps of the system clock do not affect it, so no deadline ends early by them.
     """
 
     def __init__(self) -> None:
         pass
 
     def now_s(self) -> float:
-        """Return the time now."""
+        """Return the current time in seconds."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
