--- a/packages/baobabctl/baobabctl/__init__.py
+++ b/packages/baobabctl/baobabctl/__init__.py
@@ -1,1 +1,1 @@
-"""Command line of the operators."""
+"""Command line for operators."""
--- a/packages/baobabctl/baobabctl/_client.py
+++ b/packages/baobabctl/baobabctl/_client.py
@@ -16,18 +16,18 @@
 
 
 class UnreachableError(Exception):
-    """Tell that no server answered; the call cannot have had an effect."""
+    """Report that no server could be reached, so that the call had no effect."""
 
 
-class LostAnswerError(Exception):
-    """Tell that a server may have carried out a call whose answer was lost."""
+class LostReplyError(Exception):
+    """Report that a server may have carried out a call whose reply was lost."""
 
 
 class OperatorsClient:
-    """Send each call to the first server that answers.
+    """Send each call to the first server that replies.
 
-    A change bears an id, so that sending it to the next server after a lost answer
-    applies it once.
+    A change has an id, so a change that is sent to the next server after a lost reply
+    is applied once.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         self.credentials = credentials
 
     def call(self, method: str, request: Any) -> Any:
-        """Return the reply; raises UnreachableError or LostAnswerError."""
+        """Return the reply; raises UnreachableError or LostReplyError."""
         problems = []
         may_have_run = False
         for server in self.servers:
@@ -56,7 +56,7 @@
                     may_have_run = True
                     problems.append(f"{server}: {error.code().name}")
         if may_have_run:
-            raise LostAnswerError("; ".join(problems))
+            raise LostReplyError("; ".join(problems))
         raise UnreachableError("; ".join(problems))
 
     def _channel(self, server: str) -> grpc.Channel:
--- a/packages/baobabctl/baobabctl/_commands.py
+++ b/packages/baobabctl/baobabctl/_commands.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """Describe one subcommand."""
+    """Represent one subcommand."""
 
     name: str
     arguments: tuple[str, ...]
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Invocation:
-    """Hold a subcommand and the values of its arguments."""
+    """Represent a subcommand with the values of its arguments."""
 
     command: Command
     values: tuple[str, ...]
@@ -44,14 +44,14 @@
         return self.command.execute(session, *self.values)
 
 
-def find_command(words: tuple[str, ...]) -> Invocation:
-    """Return the subcommand that the words name; raises UsageError."""
-    name = " ".join(words[:WORDS_PER_NAME])
+def parse_invocation(positional: tuple[str, ...]) -> Invocation:
+    """Return the subcommand with its values; raises UsageError."""
+    name = " ".join(positional[:WORDS_PER_NAME])
     commands = {command.name: command for command in COMMANDS}
     if name not in commands:
-        raise UsageError(_unknown_command(name, list(commands)))
+        raise UsageError(_describe_unknown_command(name, list(commands)))
     command = commands[name]
-    values = words[WORDS_PER_NAME:]
+    values = positional[WORDS_PER_NAME:]
     if len(values) != len(command.arguments):
         raise UsageError(f"usage: baobabctl {command.usage}; got {len(values)} values")
     for argument, value in zip(command.arguments, values, strict=True):
@@ -66,7 +66,7 @@
     return "\n".join(f"  {c.usage:<{width}}  {c.summary}" for c in COMMANDS)
 
 
-def _unknown_command(name: str, known: list[str]) -> str:
+def _describe_unknown_command(name: str, known: list[str]) -> str:
     nearest = difflib.get_close_matches(name, known, n=1, cutoff=0.0)
     if not name:
         return "a subcommand must be given; see --help"
@@ -114,14 +114,14 @@
 
 
 def _target_drain(session: Session, service_id: str, target_id: str) -> ExitCode:
-    return _set_target(session, service_id, target_id, pb.TARGET_STATE_DRAINING)
+    return _set_target_state(session, service_id, target_id, pb.TARGET_STATE_DRAINING)
 
 
 def _target_activate(session: Session, service_id: str, target_id: str) -> ExitCode:
-    return _set_target(session, service_id, target_id, pb.TARGET_STATE_ACTIVE)
+    return _set_target_state(session, service_id, target_id, pb.TARGET_STATE_ACTIVE)
 
 
-def _set_target(
+def _set_target_state(
     session: Session, service_id: str, target_id: str, state: pb.TargetState
 ) -> ExitCode:
     request = pb.SetTargetStateRequest(
@@ -131,14 +131,18 @@
 
 
 def _zone_out(session: Session, zone: str) -> ExitCode:
-    return _set_zone(session, zone, pb.ZONE_STATE_OUT, f"Take zone {zone!r} out?")
+    return _set_zone_state(
+        session, zone, pb.ZONE_STATE_OUT, f"Take zone {zone!r} out of service?"
+    )
 
 
 def _zone_in(session: Session, zone: str) -> ExitCode:
-    return _set_zone(session, zone, pb.ZONE_STATE_IN, f"Take zone {zone!r} in?")
+    return _set_zone_state(
+        session, zone, pb.ZONE_STATE_IN, f"Return zone {zone!r} to service?"
+    )
 
 
-def _set_zone(
+def _set_zone_state(
     session: Session, zone: str, state: pb.ZoneState, question: str
 ) -> ExitCode:
     if not session.options.yes and not session.terminal.ask(question):
@@ -186,19 +190,25 @@
     ),
     Command("target remove", ("SERVICE", "TARGET"), "Remove a target", _target_remove),
     Command(
-        "target drain", ("SERVICE", "TARGET"), "Give it no new work", _target_drain
+        "target drain",
+        ("SERVICE", "TARGET"),
+        "Stop new calls to a target",
+        _target_drain,
     ),
     Command(
-        "target activate", ("SERVICE", "TARGET"), "Give it work again", _target_activate
+        "target activate",
+        ("SERVICE", "TARGET"),
+        "Allow new calls to a target again",
+        _target_activate,
     ),
-    Command("zone out", ("ZONE",), "Take a zone out", _zone_out),
-    Command("zone in", ("ZONE",), "Take a zone in again", _zone_in),
+    Command("zone out", ("ZONE",), "Take a zone out of service", _zone_out),
+    Command("zone in", ("ZONE",), "Return a zone to service", _zone_in),
     Command("instance list", (), "List instances", _instance_list),
     Command("outcome list", (), "List unknown outcomes", _outcome_list),
     Command(
         "outcome settle",
         ("SERVICE", "KEY", "SETTLEMENT"),
-        "Say that a call ran or did not (ran, not_run)",
+        "Record whether a call ran (ran, not_run)",
         _outcome_settle,
     ),
 )
--- a/packages/baobabctl/baobabctl/_exit_codes.py
+++ b/packages/baobabctl/baobabctl/_exit_codes.py
@@ -4,7 +4,7 @@
 
 
 class ExitCode(IntEnum):
-    """Tell a script what became of a command."""
+    """Represent the outcome of a command."""
 
     ACCEPTED = 0
     INVALID = 2
--- a/packages/baobabctl/baobabctl/_flags.py
+++ b/packages/baobabctl/baobabctl/_flags.py
@@ -12,12 +12,12 @@
 
 
 class UsageError(Exception):
-    """Tell what is wrong with the command line."""
+    """Report what is wrong with the command line."""
 
 
 @dataclass(frozen=True, slots=True)
 class TlsFiles:
-    """Name the PEM files of mutual TLS."""
+    """Represent the PEM files of mutual TLS."""
 
     authority: Path
     certificate: Path
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """Hold the values of all flags."""
+    """Represent the values of all flags."""
 
     servers: tuple[str, ...]
     timeout_s: float
@@ -40,20 +40,20 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandLine:
-    """Hold the flags and the words besides them."""
+    """Represent the flags and the positional arguments."""
 
     options: Options
-    words: tuple[str, ...]
+    positional: tuple[str, ...]
 
 
 def parse_command_line(argv: list[str]) -> CommandLine:
-    """Parse the words after the program's name; raises UsageError."""
+    """Parse the arguments after the program's name; raises UsageError."""
     values = _define_flags()
     try:
-        words = values(["baobabctl", *argv])[1:]
+        positional = values(["baobabctl", *argv])[1:]
     except flags.Error as error:
         raise UsageError(str(error)) from error
-    return CommandLine(_to_options(values), tuple(words))
+    return CommandLine(_build_options(values), tuple(positional))
 
 
 def flags_help() -> str:
@@ -71,7 +71,7 @@
         flag_values=values,
     )
     flags.DEFINE_float(
-        "timeout_s", DEFAULT_TIMEOUT_S, "Time for one call.", flag_values=values
+        "timeout_s", DEFAULT_TIMEOUT_S, "Timeout of one call.", flag_values=values
     )
     flags.DEFINE_integer(
         "base_revision",
@@ -86,19 +86,17 @@
         "Id of an earlier unconfirmed change, to send it again safely.",
         flag_values=values,
     )
-    flags.DEFINE_enum(
-        "format", "table", FORMATS, "Form of the output.", flag_values=values
-    )
+    flags.DEFINE_enum("format", "table", FORMATS, "Output format.", flag_values=values)
     flags.DEFINE_boolean(
-        "yes", False, "Do not ask before taking a zone out or in.", flag_values=values
+        "yes", False, "Change the state of a zone without asking.", flag_values=values
     )
-    for name, content in (
+    for name, description in (
         ("ca", "certificate authority of the servers"),
         ("cert", "certificate of the operator"),
         ("key", "private key of the operator"),
     ):
         flags.DEFINE_string(
-            name, None, f"PEM file with the {content}.", flag_values=values
+            name, None, f"PEM file with the {description}.", flag_values=values
         )
     flags.DEFINE_boolean(
         "help", False, "Show this help.", short_name="h", flag_values=values
@@ -106,8 +104,8 @@
     return values
 
 
-def _to_options(values: flags.FlagValues) -> Options:
-    # The comparison is false for nan, too.
+def _build_options(values: flags.FlagValues) -> Options:
+    # The comparison is also false for nan.
     if not 0 < values.timeout_s < math.inf:
         raise UsageError(f"--timeout_s must be positive, got {values.timeout_s}")
     return Options(
@@ -117,12 +115,12 @@
         change_id=values.change_id,
         output_format=values.format,
         yes=values.yes,
-        tls_files=_to_tls_files(values),
+        tls_files=_build_tls_files(values),
         help=values.help,
     )
 
 
-def _to_tls_files(values: flags.FlagValues) -> TlsFiles | None:
+def _build_tls_files(values: flags.FlagValues) -> TlsFiles | None:
     given = {name: values[name].value for name in ("ca", "cert", "key")}
     missing = [f"--{name}" for name, value in given.items() if not value]
     if len(missing) == len(given):
--- a/packages/baobabctl/baobabctl/_json_messages.py
+++ b/packages/baobabctl/baobabctl/_json_messages.py
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """Name a field that is wrong and say what is wrong with it."""
+    """Represent a problem and the field that has it."""
 
     place: str
     problem: str
 
 
 class InvalidFileError(Exception):
-    """Hold all findings about a file."""
+    """Report all findings about a file."""
 
     def __init__(self, findings: list[Finding]) -> None:
         super().__init__(f"{len(findings)} findings")
@@ -35,15 +35,15 @@
     except OSError as error:
         raise InvalidFileError([Finding(path, error.strerror or str(error))]) from error
     except (ValueError, RecursionError) as error:
-        raise InvalidFileError([Finding(path, f"no JSON: {error}")]) from error
+        raise InvalidFileError([Finding(path, f"invalid JSON: {error}")]) from error
     findings: list[Finding] = []
-    _fill(message, value, place, findings)
+    _fill_message(message, value, place, findings)
     if findings:
         raise InvalidFileError(findings)
 
 
 def to_json_value(message: Message) -> dict[str, Any]:
-    """Return a message as a JSON value that `read_message` takes back."""
+    """Return a message as a JSON value that `read_message` accepts."""
     return {
         field.name: _to_json_field(message, field)
         for field in message.DESCRIPTOR.fields
@@ -58,7 +58,7 @@
 
 
 def is_unicode(text: str) -> bool:
-    """Tell whether a text has no lone surrogates, which no message can hold."""
+    """Return whether a text has no lone surrogates, which messages can't contain."""
     return not any("\ud800" <= character <= "\udfff" for character in text)
 
 
@@ -73,7 +73,9 @@
     return value
 
 
-def _fill(message: Message, value: Any, place: str, findings: list[Finding]) -> None:
+def _fill_message(
+    message: Message, value: Any, place: str, findings: list[Finding]
+) -> None:
     if not isinstance(value, dict):
         findings.append(Finding(place, f"must be an object, got {value!r}"))
         return
@@ -82,12 +84,14 @@
         item_place = f"{place}.{name}"
         field = descriptor.fields_by_name.get(name)
         if field is None:
-            findings.append(Finding(item_place, _unknown_field(descriptor, name)))
+            findings.append(
+                Finding(item_place, _describe_unknown_field(descriptor, name))
+            )
         else:
             _fill_field(message, field, item, item_place, findings)
 
 
-def _unknown_field(descriptor: Descriptor, name: str) -> str:
+def _describe_unknown_field(descriptor: Descriptor, name: str) -> str:
     known = list(descriptor.fields_by_name)
     nearest = difflib.get_close_matches(name, known, n=1)
     if nearest:
@@ -103,9 +107,9 @@
     findings: list[Finding],
 ) -> None:
     if field.message_type is not None:
-        _fill_messages(getattr(message, field.name), value, place, findings)
+        _fill_repeated(getattr(message, field.name), value, place, findings)
         return
-    problem = _scalar_problem(field, value)
+    problem = _find_scalar_problem(field, value)
     if problem is not None:
         findings.append(Finding(place, problem))
     elif field.enum_type is not None:
@@ -114,17 +118,17 @@
         setattr(message, field.name, value)
 
 
-def _fill_messages(
+def _fill_repeated(
     messages: Any, value: Any, place: str, findings: list[Finding]
 ) -> None:
     if not isinstance(value, list):
         findings.append(Finding(place, f"must be a list, got {value!r}"))
         return
     for index, item in enumerate(value):
-        _fill(messages.add(), item, f"{place}[{index}]", findings)
+        _fill_message(messages.add(), item, f"{place}[{index}]", findings)
 
 
-def _scalar_problem(field: FieldDescriptor, value: Any) -> str | None:
+def _find_scalar_problem(field: FieldDescriptor, value: Any) -> str | None:
     if field.enum_type is not None:
         known = list(_enum_numbers(field.enum_type))
         if value not in known:
@@ -132,7 +136,7 @@
         return None
     if field.type in UINT_BITS:
         limit = 2 ** UINT_BITS[field.type]
-        # JSON's true is an int to Python.
+        # The exact type excludes JSON's true, since bool is a subclass of int.
         if type(value) is not int or not 0 <= value < limit:
             return f"must be a whole number below {limit}, got {value!r}"
         return None
--- a/packages/baobabctl/baobabctl/_tables.py
+++ b/packages/baobabctl/baobabctl/_tables.py
@@ -1,4 +1,4 @@
-"""Listings as tables."""
+"""Formatting of replies as tables."""
 
 from datetime import UTC, datetime
 
@@ -119,7 +119,7 @@
 
 
 def _table(headers: tuple[str, ...], rows: list[tuple[str | int, ...]]) -> str:
-    # Ids of digits alone must stay as they are.
+    # Parsing as numbers would change ids of digits, such as "01".
     return tabulate(rows, headers, tablefmt=_TABLE_FORMAT, disable_numparse=True)
 
 
--- a/packages/baobabctl/baobabctl/main.py
+++ b/packages/baobabctl/baobabctl/main.py
@@ -1,14 +1,14 @@
-"""Entry of the command line."""
+"""Entry point of the command line."""
 
 import sys
 
 from baobabctl._client import (
-    LostAnswerError,
+    LostReplyError,
     OperatorsClient,
     UnreachableError,
     read_credentials,
 )
-from baobabctl._commands import Invocation, commands_help, find_command
+from baobabctl._commands import Invocation, commands_help, parse_invocation
 from baobabctl._exit_codes import EXIT_CODES_HELP, ExitCode
 from baobabctl._flags import Options, UsageError, flags_help, parse_command_line
 from baobabctl._json_messages import InvalidFileError
@@ -22,13 +22,13 @@
 
 
 def execute(argv: list[str], terminal: Terminal) -> ExitCode:
-    """Carry out one command line and return its exit code."""
+    """Execute one command line and return its exit code."""
     try:
         command_line = parse_command_line(argv)
         if command_line.options.help:
             print(help_text(), file=terminal.stdout)
             return ExitCode.ACCEPTED
-        invocation = find_command(command_line.words)
+        invocation = parse_invocation(command_line.positional)
         return _invoke(invocation, command_line.options, terminal)
     except UsageError as error:
         print(error, file=terminal.stderr)
@@ -36,7 +36,7 @@
     except InvalidFileError as error:
         terminal.print_findings(error.findings)
         return ExitCode.INVALID
-    except (UnreachableError, LostAnswerError) as error:
+    except (UnreachableError, LostReplyError) as error:
         print(f"unreachable: {error}", file=terminal.stderr)
         return ExitCode.UNREACHABLE
 
--- a/packages/baobabctl/baobabctl/tests/conftest.py
+++ b/packages/baobabctl/baobabctl/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Server in memory and a way to run command lines against it."""
+"""Fake server and a function that runs command lines."""
 
 import io
 from concurrent.futures import ThreadPoolExecutor
@@ -25,8 +25,8 @@
 
 
 @dataclass
-class Run:
-    """Hold what a command line gave."""
+class CommandResult:
+    """Represent the exit code and the output of a command line."""
 
     code: ExitCode
     stdout: str
@@ -35,7 +35,7 @@
 
 @dataclass
 class FakeServer(pb_grpc.OperatorsServicer):
-    """Answer as a test says and keep the requests."""
+    """Return the replies that a test sets, and store the requests."""
 
     change_reply: pb.ChangeReply = field(default_factory=pb.ChangeReply)
     settle_reply: pb.SettleOutcomeReply = field(default_factory=pb.SettleOutcomeReply)
@@ -45,12 +45,12 @@
         default_factory=pb.ListUnknownOutcomesReply
     )
     requests: list[Any] = field(default_factory=list)
-    fails_changes: bool = False
+    aborts_changes: bool = False
     address: str = ""
 
     def change(self, request, context):
         self.requests.append(request)
-        if self.fails_changes:
+        if self.aborts_changes:
             context.abort(grpc.StatusCode.UNAVAILABLE, "going away")
         return self.change_reply
 
@@ -74,7 +74,7 @@
 
 @pytest.fixture
 def start_server():
-    """Give a function that starts one more server."""
+    """Return a function that starts another server."""
     running = []
 
     def start() -> FakeServer:
@@ -96,8 +96,8 @@
     return start_server()
 
 
-def run_line(*argv: str, stdin: str = "") -> Run:
+def run_command(*argv: str, stdin: str = "") -> CommandResult:
     """Run one command line."""
     terminal = Terminal(io.StringIO(stdin), io.StringIO(), io.StringIO())
     code = execute(list(argv), terminal)
-    return Run(code, terminal.stdout.getvalue(), terminal.stderr.getvalue())
+    return CommandResult(code, terminal.stdout.getvalue(), terminal.stderr.getvalue())
--- a/packages/baobabctl/baobabctl/tests/test_main.py
+++ b/packages/baobabctl/baobabctl/tests/test_main.py
@@ -6,7 +6,7 @@
 from baobabapi import operators_pb2 as pb
 
 from baobabctl._exit_codes import ExitCode
-from baobabctl.tests.conftest import run_line
+from baobabctl.tests.conftest import run_command
 
 ACCEPTED = pb.ChangeReply(accepted=pb.Accepted(revision=8))
 SERVICE = {
@@ -77,9 +77,9 @@
 def test_a_service_file_is_sent_with_the_current_revision(server, service_file):
     server.services.revision = 7
     server.change_reply = ACCEPTED
-    run = run_line("--server", server.address, "service", "put", service_file)
-    assert run.code == ExitCode.ACCEPTED
-    assert run.stdout == "accepted revision=8\n"
+    completed = run_command("--server", server.address, "service", "put", service_file)
+    assert completed.code == ExitCode.ACCEPTED
+    assert completed.stdout == "accepted revision=8\n"
     (request,) = server.requests
     assert request.service == SERVICE_MESSAGE
     assert request.base_revision == 7
@@ -134,8 +134,8 @@
     expected.base_revision = 4
     expected.change_id = "c1"
     flags = ["--base_revision", "4", "--change_id", "c1", "--server", server.address]
-    run = run_line(*flags, *line.split())
-    assert run.code == ExitCode.ACCEPTED
+    completed = run_command(*flags, *line.split())
+    assert completed.code == ExitCode.ACCEPTED
     assert server.requests == [expected]
 
 
@@ -168,21 +168,21 @@
 )
 def test_each_outcome_has_its_exit_code(server, reply, code, text):
     server.change_reply = reply
-    run = run_line(
+    completed = run_command(
         *("--server", server.address, "--base_revision", "4"),
         *("service", "delete", "orders"),
     )
-    assert run.code == code
-    assert text in run.stderr
+    assert completed.code == code
+    assert text in completed.stderr
 
 
 def test_all_findings_of_a_file_are_printed(server, tmp_path):
     rule = {"method": 1, "key_rule": "always", "priority": -1, "patern": "/"}
     path = tmp_path / "service.json"
     path.write_text(json.dumps({"rules": [rule], "targets": {}, "cold_limit": True}))
-    run = run_line("--server", server.address, "service", "put", str(path))
-    assert run.code == ExitCode.INVALID
-    assert [line.split(": ")[0] for line in run.stderr.splitlines()] == [
+    completed = run_command("--server", server.address, "service", "put", str(path))
+    assert completed.code == ExitCode.INVALID
+    assert [line.split(": ")[0] for line in completed.stderr.splitlines()] == [
         "service.rules[0].method",
         "service.rules[0].key_rule",
         "service.rules[0].priority",
@@ -197,54 +197,54 @@
 def test_a_file_without_a_service_is_invalid(server, tmp_path, content):
     path = tmp_path / "service.json"
     path.write_text(content)
-    run = run_line("--server", server.address, "service", "put", str(path))
-    assert run.code == ExitCode.INVALID
-    assert run.stderr
+    completed = run_command("--server", server.address, "service", "put", str(path))
+    assert completed.code == ExitCode.INVALID
+    assert completed.stderr
 
 
-def test_a_zone_is_not_taken_out_without_a_yes(server):
+def test_a_zone_is_not_taken_out_without_confirmation(server):
     line = ("--server", server.address, "zone", "out", "sapporo")
-    run = run_line(*line, stdin="n\n")
-    assert run.code == ExitCode.INVALID
+    completed = run_command(*line, stdin="n\n")
+    assert completed.code == ExitCode.INVALID
     assert server.requests == []
     server.change_reply = ACCEPTED
-    assert run_line(*line, stdin="y\n").code == ExitCode.ACCEPTED
+    assert run_command(*line, stdin="y\n").code == ExitCode.ACCEPTED
 
 
 def test_servers_are_tried_in_order(start_server):
     down, up = "127.0.0.1:9", start_server()
     up.change_reply = ACCEPTED
-    run = run_line(
+    completed = run_command(
         *("--server", down, "--server", up.address, "--timeout_s", "1"),
         *("service", "delete", "orders"),
     )
-    assert run.code == ExitCode.ACCEPTED
+    assert completed.code == ExitCode.ACCEPTED
 
 
 def test_a_change_goes_to_the_next_server_under_the_same_id(start_server):
     first, second = start_server(), start_server()
-    first.fails_changes = True
+    first.aborts_changes = True
     second.change_reply = ACCEPTED
-    run = run_line(
+    completed = run_command(
         *("--server", first.address, "--server", second.address),
         *("service", "delete", "orders"),
     )
-    assert run.code == ExitCode.ACCEPTED
+    assert completed.code == ExitCode.ACCEPTED
     assert first.requests == second.requests
 
 
-def test_a_lost_answer_leaves_the_change_unconfirmed(server):
-    server.fails_changes = True
-    run = run_line("--server", server.address, "service", "delete", "orders")
-    assert run.code == ExitCode.UNCONFIRMED
-    assert f"--change_id {server.requests[0].change_id}" in run.stderr
+def test_a_lost_reply_leaves_the_change_unconfirmed(server):
+    server.aborts_changes = True
+    completed = run_command("--server", server.address, "service", "delete", "orders")
+    assert completed.code == ExitCode.UNCONFIRMED
+    assert f"--change_id {server.requests[0].change_id}" in completed.stderr
 
 
-def test_no_server_at_all_is_unreachable():
-    run = run_line(
+def test_no_reachable_server_gives_the_unreachable_exit_code():
+    completed = run_command(
         *("--server", "127.0.0.1:9", "--timeout_s", "0.2"), "instance", "list"
     )
-    assert run.code == ExitCode.UNREACHABLE
+    assert completed.code == ExitCode.UNREACHABLE
 
 
 @pytest.mark.parametrize(
@@ -263,10 +263,10 @@
 )
 def test_each_outcome_of_a_settlement_has_its_exit_code(server, reply, code):
     server.settle_reply = reply
-    run = run_line(
+    completed = run_command(
         "--server", server.address, *["outcome", "settle", "orders", "k1", "ran"]
     )
-    assert run.code == code
+    assert completed.code == code
     assert server.requests[0].settlement == pb.SETTLEMENT_RAN
 
 
@@ -286,22 +286,22 @@
         ("target put orders 01 10.0.0.1:80 sapporo x", "SLOTS must be a whole number"),
     ],
 )
-def test_wrong_usage_says_what_is_wrong(line, text):
-    run = run_line(*line.split())
-    assert run.code == ExitCode.INVALID
-    assert text in run.stderr
+def test_invalid_usage_is_reported(line, text):
+    completed = run_command(*line.split())
+    assert completed.code == ExitCode.INVALID
+    assert text in completed.stderr
 
 
-def test_help_tells_the_exit_codes():
-    run = run_line("--help")
-    assert run.code == ExitCode.ACCEPTED
-    assert "unconfirmed" in run.stdout
+def test_help_includes_the_exit_codes():
+    completed = run_command("--help")
+    assert completed.code == ExitCode.ACCEPTED
+    assert "unconfirmed" in completed.stdout
 
 
 def test_services_as_a_table(server, snapshot):
     server.services = SERVICES
-    run = run_line("--server", server.address, "service", "list")
-    assert run.stdout == snapshot
+    completed = run_command("--server", server.address, "service", "list")
+    assert completed.stdout == snapshot
 
 
 def test_instances_as_a_table(server, snapshot):
@@ -318,8 +318,8 @@
             pb.Instance(instance_id="i2", zone="hakodate", state="silent"),
         ]
     )
-    run = run_line("--server", server.address, "instance", "list")
-    assert run.stdout == snapshot
+    completed = run_command("--server", server.address, "instance", "list")
+    assert completed.stdout == snapshot
 
 
 def test_outcomes_as_a_table(server, snapshot):
@@ -336,12 +336,12 @@
             )
         ]
     )
-    run = run_line("--server", server.address, "outcome", "list")
-    assert run.stdout == snapshot
+    completed = run_command("--server", server.address, "outcome", "list")
+    assert completed.stdout == snapshot
 
 
 def test_a_listed_service_can_be_put_again(server, tmp_path):
     server.services = SERVICES
     flags = ("--server", server.address, "--format", "json")
-    listed = json.loads(run_line(*flags, "service", "list").stdout)
+    listed = json.loads(run_command(*flags, "service", "list").stdout)
     assert listed["services"] == [SERVICE]
--- a/packages/baobabring/baobabring/program/_call_metrics.py
+++ b/packages/baobabring/baobabring/program/_call_metrics.py
@@ -1,4 +1,4 @@
-"""Counting of calls and attempts, with the labelled metrics kept at hand."""
+"""Metrics of calls and attempts, with cached label lookups."""
 
 from functools import cache
 
@@ -17,7 +17,7 @@
 
 
 class CallMetrics:
-    """Count final answers and ends of attempts."""
+    """Count calls and attempts when they end."""
 
     def __init__(self) -> None:
         self._tenant_labels = TenantLabels()
@@ -28,7 +28,7 @@
         elapsed_s = now_s - call.arrived_at_s
         request_class = call.rule.request_class
         _class_histogram(call.service_id, request_class).observe(elapsed_s)
-        tenant = self._tenant_labels.label(call.tenant)
+        tenant = self._tenant_labels.get_label(call.tenant)
         _tenant_histogram(tenant).observe(elapsed_s)
         outcome = command.outcome
         reason = "" if isinstance(outcome, Completed) else outcome.reason.value
@@ -40,7 +40,7 @@
         _attempt_counter(service_id, type(outcome).__name__.lower()).inc()
 
 
-# Looking labels up again for each call costs more than counting.
+# Looking up the labels for each call would cost more than counting it.
 
 
 @cache
--- a/packages/baobabring/baobabring/program/_claims_task.py
+++ b/packages/baobabring/baobabring/program/_claims_task.py
@@ -1,4 +1,4 @@
-"""Task that connects the claims to their streams of the log."""
+"""Task that reads and appends claim records in their streams of the log."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -14,14 +14,14 @@
 from baobabring.utils import Clock
 
 READ_WAIT_MS = 1_000
-READ_RETRY_S = 0.1
-APPEND_LIMIT_S = 2.0
+READ_RETRY_DELAY_S = 0.1
+APPEND_TIMEOUT_S = 2.0
 
 EventHandler = Callable[[Iterable[ClaimEvent]], None]
 
 
 class ClaimsTask:
-    """Read and append the claims, and hand on what became of them."""
+    """Read and append claim records, and pass the resulting events to a handler."""
 
     def __init__(
         self,
@@ -35,10 +35,10 @@
         self.log = log
         self.clock = clock
         self._handler: EventHandler | None = None
-        self._appends: set[asyncio.Task] = set()
+        self._append_tasks: set[asyncio.Task] = set()
 
     def start(self, handler: EventHandler) -> None:
-        """Call `handler` with events from now on."""
+        """Set the handler that is called with all events."""
         self._handler = handler
 
     async def run(self) -> None:
@@ -48,7 +48,7 @@
                 group.create_task(self._read(partition))
 
     def tick(self) -> None:
-        """Let time pass and start the appends that are due."""
+        """Advance the claims to the current time and start the appends that are due."""
         self._handler(self.claims.tick(self.clock.now_s()))
         self.flush()
 
@@ -56,8 +56,8 @@
         """Start the appends that are due."""
         for request in self.claims.pop_due_appends(self.clock.now_s()):
             task = asyncio.ensure_future(self._append(request))
-            self._appends.add(task)
-            task.add_done_callback(self._appends.discard)
+            self._append_tasks.add(task)
+            task.add_done_callback(self._append_tasks.discard)
 
     async def _read(self, partition: int) -> None:
         stream = get_stream_name(partition)
@@ -70,11 +70,11 @@
             )
             self._handler(events)
             if isinstance(outcome, ReadFailed):
-                await asyncio.sleep(READ_RETRY_S)
+                await asyncio.sleep(READ_RETRY_DELAY_S)
 
     async def _append(self, request: AppendRequest) -> None:
         stream = get_stream_name(request.partition)
-        deadline_s = self.clock.now_s() + APPEND_LIMIT_S
+        deadline_s = self.clock.now_s() + APPEND_TIMEOUT_S
         outcome = await self.log.append(stream, request.payload, deadline_s)
         count_append(stream, outcome)
         now_s = self.clock.now_s()
--- a/packages/baobabring/baobabring/program/_control_plane.py
+++ b/packages/baobabring/baobabring/program/_control_plane.py
@@ -1,4 +1,4 @@
-"""What the operators' calls do at an instance."""
+"""Implementation of the operators' calls by an instance."""
 
 import asyncio
 
@@ -30,12 +30,13 @@
 from baobabring.utils import Clock
 
 MS_PER_S = 1_000
-POLL_S = 0.02
+SETTLEMENT_POLL_INTERVAL_S = 0.02
+# The schema reports ages as uint32.
 MAX_AGE_MS = 2**32 - 1
 
 
-class NodeControlPlane(ControlPlane):
-    """Carry out the operators' calls by the parts of an instance."""
+class InstanceControlPlane(ControlPlane):
+    """Carry out the operators' calls with the parts of this instance."""
 
     def __init__(
         self,
@@ -58,17 +59,17 @@
         deadline_s: float,
         change_id: str | None = None,
     ) -> ProposalOutcome:
-        """Publish a change; with the id of an earlier try, it is applied once."""
+        """Publish a change; a change sent again with its id is applied once."""
         return await self.publisher.propose(
             base_revision, change, deadline_s, change_id
         )
 
     def get_configuration(self) -> Configuration:
-        """Return the newest configuration known here."""
+        """Return the newest configuration known to this instance."""
         return self.publisher.reader.configuration
 
     def get_instances(self) -> tuple[InstanceStatus, ...]:
-        """Return the instances known here, this one included."""
+        """Return all known instances, including this one."""
         own = InstanceStatus(
             instance_id=self.membership.info.instance_id,
             zone=self.membership.info.zone,
@@ -98,13 +99,13 @@
         return min(max(age_ms, 0), MAX_AGE_MS)
 
     def get_unknown_outcomes(self) -> tuple[UnknownOutcome, ...]:
-        """Return the unknown outcomes known here."""
+        """Return the unknown outcomes that this instance has read from the log."""
         return tuple(self.claims.unknown_outcomes(self.clock.now_s()))
 
     async def settle(
         self, service_id: str, key: str, settlement: Settlement, deadline_s: float
     ) -> SettlementOutcome:
-        """Record what became of a call whose outcome is unknown."""
+        """Record whether a call with an unknown outcome ran."""
         requested = self.claims.settle(service_id, key, settlement, self.clock.now_s())
         if not isinstance(requested, SettlementRequested):
             return NotSettleable(requested.reason.value)
@@ -115,7 +116,7 @@
                 return Settled()
             if state is SettlementState.REJECTED:
                 return NotSettleable("the outcome was settled otherwise meanwhile")
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(SETTLEMENT_POLL_INTERVAL_S)
         return Unconfirmed(
             requested.settlement_id.hex(), "the log did not confirm in time"
         )
--- a/packages/baobabring/baobabring/program/_dispatcher.py
+++ b/packages/baobabring/baobabring/program/_dispatcher.py
@@ -1,4 +1,4 @@
-"""Task side of the call engine: turns its commands into traffic."""
+"""Execution of the call engine's commands as attempts and answers."""
 
 import asyncio
 import contextlib
@@ -31,33 +31,33 @@
 
 
 class Dispatcher(CallHandler):
-    """Carry calls through the engine to targets and back."""
+    """Pass calls to the engine and execute its commands."""
 
     def __init__(
         self,
         instance_id: str,
         engine: CallEngine,
         client: TargetClient,
-        prober: ProbeScheduler,
+        probe_scheduler: ProbeScheduler,
         clock: Clock,
     ) -> None:
         self.engine = engine
         self.client = client
-        self.prober = prober
+        self.probe_scheduler = probe_scheduler
         self.clock = clock
         self._call_id_prefix = f"{instance_id}-{secrets.token_hex(CALL_ID_BYTES)}"
         self._call_count = 0
         self._futures: dict[str, asyncio.Future[CallResult]] = {}
-        self._attempts: dict[tuple[str, int], asyncio.Task] = {}
+        self._attempt_tasks: dict[tuple[str, int], asyncio.Task] = {}
         self._router = Router(Configuration())
         self.metrics = CallMetrics()
         self._ready = False
-        self._leaving = False
-        self._arrived = asyncio.Event()
+        self._shutting_down = False
+        self._call_arrived = asyncio.Event()
         self._service_ids: tuple[str, ...] = ()
         self._flush_claims: Callable[[], None] | None = None
 
-    # What callers need
+    # Interface for callers
 
     def get_router(self) -> Router:
         """Return the router of the configuration in force."""
@@ -69,37 +69,37 @@
         return f"{self._call_id_prefix}-{self._call_count}"
 
     def submit(self, call: Call) -> asyncio.Future[CallResult]:
-        """Start a call; the future ends with its outcome."""
+        """Start a call; the future resolves to its result."""
         future = asyncio.get_running_loop().create_future()
         self._futures[call.call_id] = future
         self.engine.add_call(call, self.clock.now_s())
-        self._arrived.set()
+        self._call_arrived.set()
         self.run_commands()
         if call.key is not None:
             self._flush_claims()
         return future
 
     def on_caller_disconnect(self, call_id: str) -> None:
-        """Take in that a caller has gone away."""
+        """Handle the disconnect of a caller."""
         self.engine.caller_left(call_id, self.clock.now_s())
         self.run_commands()
 
     def is_ready(self) -> bool:
-        """Tell whether the platform's balancer should send calls here."""
+        """Return whether the platform's balancer should send calls here."""
         return self._ready
 
     def now_s(self) -> float:
-        """Return the time by which calls are measured."""
+        """Return the current time of the clock that measures calls."""
         return self.clock.now_s()
 
-    # What the node needs
+    # Interface for the instance runner
 
     def set_ready(self, ready: bool) -> None:
-        """Set what the platform's balancer is told."""
+        """Set whether the platform's balancer should send calls here."""
         self._ready = ready
 
     def configure(self, configuration: Configuration) -> None:
-        """Route by a new configuration from now on."""
+        """Route all further calls by a new configuration."""
         self._router = Router(configuration)
         self._service_ids = tuple(configuration.services)
 
@@ -108,56 +108,56 @@
         self._flush_claims = flush
 
     def update_capacity_shares(self, live_instances: int) -> None:
-        """Take an equal share of what the targets bear."""
+        """Divide the targets' capacity equally among the live instances."""
         self.engine.update_capacity_shares(
             self._service_ids, live_instances, self.clock.now_s()
         )
 
-    def start_leaving(self) -> None:
-        """Tell callers to open their next connections elsewhere."""
+    def start_shutdown(self) -> None:
+        """Become not ready, and tell callers to connect to other instances."""
         self._ready = False
-        self._leaving = True
+        self._shutting_down = True
 
     def is_configuration_confirmed(self) -> bool:
-        """Tell whether a service that isn't known here doesn't exist."""
+        """Return whether a service that is unknown here can be taken not to exist."""
         return self.engine.can_start_attempts
 
     def is_shutting_down(self) -> bool:
-        """Tell whether this instance is shutting down."""
-        return self._leaving
+        """Return whether this instance is shutting down."""
+        return self._shutting_down
 
     def apply_claim_events(self, events: Iterable[ClaimEvent]) -> None:
-        """Hand on what became of claims."""
+        """Pass claim events to the engine."""
         self.engine.apply_claim_events(events, self.clock.now_s())
         self.run_commands()
 
     def allow_attempts(self, allowed: bool) -> None:
-        """Allow or forbid new work at targets."""
+        """Allow or forbid new attempts at targets."""
         self.engine.allow_attempts(allowed, self.clock.now_s())
         self.run_commands()
 
     def tick(self) -> None:
-        """Let time pass in the engine."""
+        """Advance the engine to the current time."""
         self.engine.tick(self.clock.now_s())
         self.run_commands()
         CALLS_IN_PROGRESS.set(self.engine.calls_in_progress)
 
     async def wait_for_tick(self) -> None:
-        """Wait until the next tick; with no calls, until one comes or for longer."""
-        if not self.idle():
+        """Wait for the next tick; while idle, wait longer or until a call arrives."""
+        if not self.is_idle():
             await asyncio.sleep(BUSY_TICK_S)
             return
-        self._arrived.clear()
+        self._call_arrived.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(IDLE_TICK_S):
-                await self._arrived.wait()
+                await self._call_arrived.wait()
 
-    def idle(self) -> bool:
-        """Tell whether every call has its final answer."""
+    def is_idle(self) -> bool:
+        """Return whether every call has its final answer."""
         return self.engine.calls_in_progress == 0
 
     def run_commands(self) -> None:
-        """Carry out what the engine has decided."""
+        """Execute the commands that the engine has issued."""
         for command in self.engine.drain_commands():
             if isinstance(command, StartAttempt):
                 self._start_attempt(command)
@@ -167,10 +167,10 @@
                 self._answer(command)
 
     def _start_attempt(self, command: StartAttempt) -> None:
-        task = asyncio.ensure_future(self._attempt(command))
-        self._attempts[command.call.call_id, command.attempt] = task
+        task = asyncio.ensure_future(self._run_attempt(command))
+        self._attempt_tasks[command.call.call_id, command.attempt] = task
 
-    async def _attempt(self, command: StartAttempt) -> None:
+    async def _run_attempt(self, command: StartAttempt) -> None:
         plan = AttemptPlan(
             call=command.call,
             address=command.address,
@@ -181,19 +181,19 @@
         try:
             outcome = await self.client.attempt(plan)
         except Exception:
-            # The request may have gone out, whatever broke.
+            # The request may have been sent before the exception.
             LOG.exception("attempt failed", call=plan.call.call_id)
             outcome = Lost(Reason.CONNECTION_LOST)
         call = command.call
-        self._attempts.pop((call.call_id, command.attempt), None)
+        self._attempt_tasks.pop((call.call_id, command.attempt), None)
         self.metrics.count_attempt(call.service_id, outcome)
         now_s = self.clock.now_s()
-        self.prober.record_traffic(command.target_id, now_s)
+        self.probe_scheduler.record_traffic(command.target_id, now_s)
         self.engine.attempt_ended(call.call_id, command.attempt, outcome, now_s)
         self.run_commands()
 
     def _cancel_attempt(self, command: CancelAttempt) -> None:
-        task = self._attempts.pop((command.call_id, command.attempt), None)
+        task = self._attempt_tasks.pop((command.call_id, command.attempt), None)
         if task is not None:
             task.cancel()
 
--- a/packages/baobabring/baobabring/program/_node.py
+++ b/packages/baobabring/baobabring/program/_instance.py
@@ -1,4 +1,4 @@
-"""Life of an instance: start, run, leave."""
+"""Start, operation and graceful shutdown of an instance."""
 
 import asyncio
 import contextlib
@@ -14,70 +14,71 @@
 from baobabring.calls import longest_deadline_ms
 from baobabring.model import Configuration, TargetState, ZoneState
 from baobabring.operators import create_operators_server, read_certificates
-from baobabring.program._control_plane import NodeControlPlane
+from baobabring.program._control_plane import InstanceControlPlane
 from baobabring.program._metrics import REVISION
 from baobabring.program._parts import Parts, create_parts
 from baobabring.settings import Settings
 
 LOG = logbook.Logger("node")
 
-VIEW_INTERVAL_S = 0.1
-IDLE_POLL_S = 0.02
-RECORD_LIMIT_S = 30.0
+VIEW_UPDATE_INTERVAL_S = 0.1
+IDLE_POLL_INTERVAL_S = 0.02
+# Time to append the records of the last calls after their deadlines.
+RECORD_APPEND_MARGIN_S = 30.0
 RPC_GRACE_S = 1.0
 MS_PER_S = 1_000
 BACKLOG_CONNECTIONS = 2_048
 
 
 class AddressError(Exception):
-    """Tell that an address of the settings can't be listened at."""
+    """Report an address of the settings that can't be listened on."""
 
     def __init__(self, section: str, address: str, problem: str) -> None:
         super().__init__(f"[{section}] address = {address!r}: {problem}")
 
 
 class _CallerServer(uvicorn.Server):
-    """Server that leaves signals to the node."""
+    """Serve callers, and leave signals to the instance runner."""
 
     @contextlib.contextmanager
     def capture_signals(self):
-        """Capture nothing."""
+        """Leave the signal handlers unchanged."""
         yield
 
 
-class Node:
-    """Run the parts of an instance until it is told to leave."""
+class InstanceRunner:
+    """Run the parts of an instance until it is asked to shut down."""
 
     def __init__(self, settings: Settings, parts: Parts) -> None:
         self.settings = settings
         self.parts = parts
-        self._leaving = asyncio.Event()
+        self._shutdown_requested = asyncio.Event()
         self._can_start_attempts = False
         self._server = _create_caller_server(settings, parts)
 
     async def run(self) -> None:
-        """Serve until a signal, then leave without cutting anything off."""
+        """Serve until a signal arrives or a task fails, then shut down gracefully."""
         self._connect()
         listener = _listen(self.settings.callers.address)
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._leaving.set)
-        operators = self._create_operators()
-        await operators.start()
+            loop.add_signal_handler(number, self._shutdown_requested.set)
+        operators_server = self._create_operators_server()
+        await operators_server.start()
         tasks = asyncio.ensure_future(self._run_tasks())
         serving = asyncio.ensure_future(self._server.serve([listener]))
-        leaving = asyncio.ensure_future(self._leaving.wait())
+        shutdown_requested = asyncio.ensure_future(self._shutdown_requested.wait())
         await asyncio.wait(
-            (tasks, serving, leaving), return_when=asyncio.FIRST_COMPLETED
+            (tasks, serving, shutdown_requested), return_when=asyncio.FIRST_COMPLETED
         )
         failure = tasks.exception() if tasks.done() else None
         if failure is not None:
-            LOG.error("a task failed", failure=repr(failure))
-        await self._leave(serving)
-        leaving.cancel()
+            LOG.error("task failed", failure=repr(failure))
+        await self._shut_down(serving)
+        shutdown_requested.cancel()
         tasks.cancel()
         await asyncio.gather(tasks, return_exceptions=True)
-        await operators.stop(RPC_GRACE_S)
+        await operators_server.stop(RPC_GRACE_S)
         await self._close()
         if failure is not None:
             raise failure
@@ -91,15 +92,17 @@
             raise AddressError("peers", address, str(error)) from error
         parts.claims_task.start(parts.dispatcher.apply_claim_events)
         parts.dispatcher.set_claims_flush(parts.claims_task.flush)
-        parts.reader.add_listener(self._configure)
+        parts.reader.add_listener(self._on_configuration)
         if self.settings.peers.key_file is None:
             LOG.warning("peers are not authenticated; set [peers] key_file")
         if self.settings.operators.authority_file is None:
-            LOG.warning("operators are not authenticated; set [operators] files")
+            LOG.warning(
+                "operators are not authenticated; set [operators] authority_file"
+            )
 
-    def _create_operators(self):
+    def _create_operators_server(self):
         parts = self.parts
-        control_plane = NodeControlPlane(
+        control_plane = InstanceControlPlane(
             parts.publisher,
             parts.membership,
             parts.claims,
@@ -126,7 +129,7 @@
         parts = self.parts
         return (
             parts.reader.run(),
-            parts.membership.run_list(),
+            parts.membership.run_list_updates(),
             parts.membership.run_heartbeats(),
             parts.claims_task.run(),
             parts.cold_start_task.read(),
@@ -135,29 +138,29 @@
             self._tick(),
         )
 
-    def _configure(self, configuration: Configuration) -> None:
+    def _on_configuration(self, configuration: Configuration) -> None:
         parts = self.parts
         now_s = parts.clock.now_s()
         parts.balancer.configure(configuration, now_s)
         parts.dispatcher.configure(configuration)
-        parts.probe_task.scheduler.set_targets(targets_in_use(configuration), now_s)
+        parts.probe_task.scheduler.set_targets(get_active_targets(configuration), now_s)
         REVISION.set(configuration.revision)
 
     async def _tick(self) -> None:
         parts = self.parts
-        view_due_s = 0.0
+        view_due_at_s = 0.0
         while True:
             now_s = parts.clock.now_s()
-            if now_s >= view_due_s:
-                view_due_s = now_s + VIEW_INTERVAL_S
-                self._adopt_view()
+            if now_s >= view_due_at_s:
+                view_due_at_s = now_s + VIEW_UPDATE_INTERVAL_S
+                self._apply_view()
             parts.claims_task.tick()
             parts.dispatcher.tick()
             parts.sharing_task.tick()
             await parts.dispatcher.wait_for_tick()
 
-    def _adopt_view(self) -> None:
-        """Hand the view of the fleet to the parts that divide something by it."""
+    def _apply_view(self) -> None:
+        """Pass the view of the fleet to the parts that divide work or limits by it."""
         parts = self.parts
         now_s = parts.clock.now_s()
         live = parts.membership.live()
@@ -166,42 +169,42 @@
         parts.claims.set_live_instances(fleet_size, now_s)
         parts.probe_task.scheduler.set_instances(live, fleet_size, now_s)
         parts.dispatcher.update_capacity_shares(len(live))
-        self._judge_confirmation()
+        self._update_readiness()
 
-    def _judge_confirmation(self) -> None:
+    def _update_readiness(self) -> None:
         can_start_attempts = (
             self.parts.reader.knows_configuration
             and self.parts.membership.can_start_attempts()
         )
         if can_start_attempts != self._can_start_attempts:
             self._can_start_attempts = can_start_attempts
-            LOG.info("new work", allowed=can_start_attempts)
+            LOG.info("attempt permission changed", allowed=can_start_attempts)
             self.parts.dispatcher.allow_attempts(can_start_attempts)
-        leaving = self._leaving.is_set()
-        self.parts.dispatcher.set_ready(can_start_attempts and not leaving)
-
-    async def _leave(self, serving: asyncio.Future) -> None:
-        LOG.info("leaving")
-        self._leaving.set()
-        self.parts.dispatcher.start_leaving()
-        await self.parts.membership.leave()
+        shutdown_requested = self._shutdown_requested.is_set()
+        self.parts.dispatcher.set_ready(can_start_attempts and not shutdown_requested)
+
+    async def _shut_down(self, serving: asyncio.Future) -> None:
+        LOG.info("shutting down")
+        self._shutdown_requested.set()
+        self.parts.dispatcher.start_shutdown()
+        await self.parts.membership.announce_leaving()
         await asyncio.sleep(self.settings.callers.leave_lag_ms / MS_PER_S)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(self._leave_limit_s()):
-                await self._wait_idle()
+            async with asyncio.timeout(self._drain_timeout_s()):
+                await self._wait_until_idle()
         self._server.should_exit = True
         await serving
-        LOG.info("left")
+        LOG.info("stopped")
 
-    def _leave_limit_s(self) -> float:
-        """Return how long the last calls and the records of them may take."""
+    def _drain_timeout_s(self) -> float:
+        """Return how long the last calls and the appends of their records may take."""
         longest_ms = longest_deadline_ms(self.parts.reader.configuration)
-        return longest_ms / MS_PER_S + RECORD_LIMIT_S
+        return longest_ms / MS_PER_S + RECORD_APPEND_MARGIN_S
 
-    async def _wait_idle(self) -> None:
+    async def _wait_until_idle(self) -> None:
         parts = self.parts
-        while not (parts.dispatcher.idle() and parts.claims.idle):
-            await asyncio.sleep(IDLE_POLL_S)
+        while not (parts.dispatcher.is_idle() and parts.claims.idle):
+            await asyncio.sleep(IDLE_POLL_INTERVAL_S)
 
     async def _close(self) -> None:
         self.parts.link.transport.close()
@@ -209,8 +212,8 @@
         await self.parts.session.close()
 
 
-def targets_in_use(configuration: Configuration) -> list[str]:
-    """Return the targets that operators let take new work; only these are probed."""
+def get_active_targets(configuration: Configuration) -> list[str]:
+    """Return the active targets in zones that are in; only these are probed."""
     return [
         target.target_id
         for service in configuration.services.values()
@@ -233,6 +236,6 @@
         raise AddressError("callers", address, str(error)) from error
 
 
-async def run_node(settings: Settings) -> None:
-    """Run an instance with these settings until it has left."""
-    await Node(settings, create_parts(settings)).run()
+async def run_instance(settings: Settings) -> None:
+    """Run an instance with these settings until it has shut down."""
+    await InstanceRunner(settings, create_parts(settings)).run()
--- a/packages/baobabring/baobabring/program/_logs.py
+++ b/packages/baobabring/baobabring/program/_logs.py
@@ -44,7 +44,7 @@
 
 def create_log_handler(line_format: str, level: str) -> logbook.Handler:
     """Return a handler that writes structured lines to standard error."""
-    # The libraries' own log lines take the same form.
+    # Gives the log lines of libraries the same format.
     logging.getLogger().handlers = [RedirectLoggingHandler()]
     handler = logbook.StreamHandler(sys.stderr, level=LEVELS[level])
     handler.formatter = _format_json if line_format == "json" else _format_keyvalue
--- a/packages/baobabring/baobabring/program/_membership_task.py
+++ b/packages/baobabring/baobabring/program/_membership_task.py
@@ -1,4 +1,4 @@
-"""Tasks that keep the view of the fleet and of the configuration's age."""
+"""Tasks that track the fleet's instances and the age of the configuration."""
 
 import asyncio
 from collections.abc import Callable
@@ -28,20 +28,21 @@
 
 LIST_INTERVAL_S = 1.0
 RECONNECT_INTERVAL_S = 1.0
+# Sequence numbers start at the clock's time, so that they grow over restarts.
 SEQUENCES_PER_S = 1_000_000
 
 HeartbeatListener = Callable[[Heartbeat], None]
 
 
 class MembershipTask:
-    """Own the view of the fleet: list, heartbeats, confirmation."""
+    """Track the fleet by the instance list and by heartbeats."""
 
     def __init__(
         self,
         info: InstanceInfo,
         membership: Membership,
         tracker: ConfirmationTracker,
-        instances: PlatformInstanceList,
+        instance_list: PlatformInstanceList,
         link: PeerLink,
         clock: Clock,
         heartbeat_interval_s: float,
@@ -49,7 +50,7 @@
         self.info = info
         self.membership = membership
         self.tracker = tracker
-        self.instances = instances
+        self.instance_list = instance_list
         self.link = link
         self.clock = clock
         self.heartbeat_interval_s = heartbeat_interval_s
@@ -57,49 +58,49 @@
         self._state = InstanceState.LIVE
         self._sequence = int(clock.now_s() * SEQUENCES_PER_S)
         self._reconnected_at_s: dict[str, float] = {}
-        self._states: dict[str, MemberState] = {}
-        self._listeners: list[HeartbeatListener] = []
-        link.subscribe(Heartbeat, self._heard)
+        self._peer_states: dict[str, MemberState] = {}
+        self._heartbeat_listeners: list[HeartbeatListener] = []
+        link.subscribe(Heartbeat, self._on_heartbeat)
 
     @property
     def state(self) -> InstanceState:
-        """Return one's own state."""
+        """Return the state of this instance."""
         return self._state
 
     def add_heartbeat_listener(self, listener: HeartbeatListener) -> None:
-        """Call `listener` with each heartbeat that is in order."""
-        self._listeners.append(listener)
+        """Call `listener` with each heartbeat that arrives in order."""
+        self._heartbeat_listeners.append(listener)
 
     def confirmation_status(self) -> ConfirmationStatus:
-        """Judge whether new work may start under the configuration at hand."""
+        """Return whether attempts may start under the current configuration."""
         now_s = self.clock.now_s()
         return self.tracker.confirmation_status(
             now_s, self.membership.reachable_share(now_s)
         )
 
     def can_start_attempts(self) -> bool:
-        """Tell whether a zone that was taken out would be known of by now."""
+        """Return whether this instance would know by now of a zone taken out."""
         return not isinstance(self.confirmation_status(), Isolated)
 
     def live(self) -> frozenset[str]:
-        """Return the live instances, this one included."""
+        """Return the live instances, including this one."""
         return frozenset(self.membership.live(self.clock.now_s()))
 
     def members(self) -> list[Member]:
-        """Return all other instances known."""
+        """Return all other known instances."""
         return self.membership.members(self.clock.now_s())
 
-    async def leave(self) -> None:
-        """Tell the platform and the peers that this instance is going."""
+    async def announce_leaving(self) -> None:
+        """Announce to the platform and the peers that this instance is leaving."""
         self._state = InstanceState.LEAVING
         self._send_heartbeat()
         await self._announce()
 
-    async def run_list(self) -> None:
-        """Read the list and renew one's own entry until cancelled."""
+    async def run_list_updates(self) -> None:
+        """Read the list and renew this instance's entry until cancelled."""
         while True:
             await self._announce()
-            entries = await self.instances.read()
+            entries = await self.instance_list.read()
             if not isinstance(entries, ReadFailed):
                 self.membership.apply_list(entries, self.clock.now_s())
             await asyncio.sleep(LIST_INTERVAL_S)
@@ -108,15 +109,15 @@
         """Send heartbeats until cancelled."""
         while True:
             self._send_heartbeat()
-            self._reconnect_to_silent()
-            self._log_changes()
+            self._reconnect_to_suspected()
+            self._update_peer_states()
             await asyncio.sleep(self.heartbeat_interval_s)
 
     async def _announce(self) -> None:
         info = InstanceInfo(
             self.info.instance_id, self.info.zone, self.info.peer_address, self._state
         )
-        await self.instances.announce(info)
+        await self.instance_list.announce(info)
 
     def _send_heartbeat(self) -> None:
         now_s = self.clock.now_s()
@@ -138,7 +139,7 @@
         )
         CONFIRMED_AGE.set(now_s - self.tracker.confirmed_at_s)
 
-    def _heard(self, heartbeat: Heartbeat) -> None:
+    def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
         now_s = self.clock.now_s()
         if self.membership.record_heartbeat(heartbeat, now_s):
             self.tracker.record_peer_confirmation(
@@ -147,27 +148,27 @@
                 heartbeat.confirmed_at_s,
                 now_s,
             )
-            for listener in self._listeners:
+            for listener in self._heartbeat_listeners:
                 listener(heartbeat)
 
-    def _reconnect_to_silent(self) -> None:
+    def _reconnect_to_suspected(self) -> None:
         now_s = self.clock.now_s()
         for member in self.membership.suspected_peers(now_s):
-            last_s = self._reconnected_at_s.get(member.instance_id, 0.0)
-            if now_s - last_s >= RECONNECT_INTERVAL_S:
+            last_reconnect_at_s = self._reconnected_at_s.get(member.instance_id, 0.0)
+            if now_s - last_reconnect_at_s >= RECONNECT_INTERVAL_S:
                 self._reconnected_at_s[member.instance_id] = now_s
                 self.link.reconnect(member.peer_address)
 
-    def _log_changes(self) -> None:
+    def _update_peer_states(self) -> None:
         members = self.members()
         states = {member.instance_id: member.state for member in members}
         for instance_id, state in states.items():
-            if self._states.get(instance_id) is not state:
-                LOG.info("peer changed", peer=instance_id, state=state.value)
+            if self._peer_states.get(instance_id) is not state:
+                LOG.info("peer state changed", peer=instance_id, state=state.value)
             if state is MemberState.SILENT:
                 self.tracker.remove_peer(instance_id)
-        for instance_id in self._states.keys() - states.keys():
-            LOG.info("peer gone", peer=instance_id)
+        for instance_id in self._peer_states.keys() - states.keys():
+            LOG.info("peer removed", peer=instance_id)
             self.tracker.remove_peer(instance_id)
             self._reconnected_at_s.pop(instance_id, None)
-        self._states = states
+        self._peer_states = states
--- a/packages/baobabring/baobabring/program/_metrics.py
+++ b/packages/baobabring/baobabring/program/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of an instance."""
+"""Metrics of an instance."""
 
 from prometheus_client import Counter, Gauge, Histogram
 
@@ -21,7 +21,7 @@
     8.192,
 )
 MAX_TENANT_LABELS = 100
-OTHER_TENANTS = "other"
+OTHER_TENANTS_LABEL = "other"
 
 CALL_SECONDS = Histogram(
     "baobabring_call_seconds",
@@ -70,22 +70,22 @@
 
 
 class TenantLabels:
-    """Bound the number of tenants that get a label of their own."""
+    """Limit the number of tenants that get their own label."""
 
     def __init__(self, limit: int = MAX_TENANT_LABELS) -> None:
         self.limit = limit
-        self._known: set[str] = set()
+        self._labelled_tenants: set[str] = set()
 
-    def label(self, tenant: str) -> str:
-        """Return the label for a tenant."""
-        if tenant in self._known:
+    def get_label(self, tenant: str) -> str:
+        """Return the tenant's own label, or the shared one at the limit."""
+        if tenant in self._labelled_tenants:
             return tenant
-        if len(self._known) >= self.limit:
-            return OTHER_TENANTS
-        self._known.add(tenant)
+        if len(self._labelled_tenants) >= self.limit:
+            return OTHER_TENANTS_LABEL
+        self._labelled_tenants.add(tenant)
         return tenant
 
 
 def count_append(stream: str, outcome: AppendOutcome) -> None:
-    """Count an append to the log by how it ended."""
+    """Count an append to the log by its outcome."""
     LOG_APPENDS.labels(stream, type(outcome).__name__).inc()
--- a/packages/baobabring/baobabring/program/_parts.py
+++ b/packages/baobabring/baobabring/program/_parts.py
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Parts:
-    """Hold the parts that a node runs."""
+    """Represent the parts that an instance runs."""
 
     clock: Clock
     session: aiohttp.ClientSession
@@ -68,7 +68,7 @@
 
 
 def create_parts(settings: Settings) -> Parts:
-    """Return the parts of an instance; raises OSError, ValueError for its keys."""
+    """Create the parts of an instance; raises OSError, ValueError for its key file."""
     clock = Clock()
     rng = random.Random(secrets.randbits(SEED_BITS))
     session = create_platform_session(settings.instance.id)
@@ -157,7 +157,7 @@
         info=info,
         membership=create_membership(settings.instance.id),
         tracker=create_confirmation_tracker(),
-        instances=HttpInstanceList(session, settings.platform.url),
+        instance_list=HttpInstanceList(session, settings.platform.url),
         link=link,
         clock=clock,
         heartbeat_interval_s=settings.peers.heartbeat_interval_ms / MS_PER_S,
--- a/packages/baobabring/baobabring/program/_peer_link.py
+++ b/packages/baobabring/baobabring/program/_peer_link.py
@@ -1,4 +1,4 @@
-"""Typed messages to and from all peers, counted."""
+"""Exchange of typed messages with peers, counted in the metrics."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _Counters:
-    """Hold the two counters of one kind of message in one direction."""
+    """Represent the counters of one kind of message in one direction."""
 
     messages: object
     size_bytes: object
 
 
 class PeerLink:
-    """Send messages to peers and hand theirs to subscribers."""
+    """Send messages to peers and pass received ones to subscribers."""
 
     def __init__(self, transport: PeerTransport) -> None:
         self.transport = transport
@@ -37,7 +37,7 @@
         self._counters: dict[tuple[str, str], _Counters] = {}
 
     def start(self) -> None:
-        """Begin to hear."""
+        """Start receiving messages."""
         self.transport.start(self._on_frame)
 
     def subscribe(self, message_type: type, handler: MessageHandler) -> None:
@@ -45,7 +45,7 @@
         self._handlers[message_type] = handler
 
     def set_peers(self, addresses: frozenset[str]) -> None:
-        """Take the addresses that broadcasts go to."""
+        """Set the addresses for broadcasts, and drop connections to all others."""
         self._addresses = addresses
         self.transport.disconnect_except(addresses)
 
@@ -71,7 +71,7 @@
         message = decode_message(frame)
         self._count("received", type(message).__name__, len(frame))
         if isinstance(message, BadFrame):
-            LOG.debug("bad frame", problem=message.problem)
+            LOG.debug("received invalid frame", problem=message.problem)
             return
         handler = self._handlers.get(type(message))
         if handler is not None:
--- a/packages/baobabring/baobabring/program/_plugins.py
+++ b/packages/baobabring/baobabring/program/_plugins.py
@@ -10,7 +10,7 @@
 
 
 def find_unknown_plugins(path: Path, settings: Settings) -> tuple[SettingsFinding, ...]:
-    """Return a finding for each plug-in name that nothing is registered under."""
+    """Return a finding for each plug-in name that isn't registered."""
     choices: list[tuple[str, str, str, Registry]] = [
         ("balancing", "policy", settings.balancing.policy, POLICIES),
         ("admission", "queue", settings.admission.queue, ADMISSION_QUEUES),
--- a/packages/baobabring/baobabring/program/_probe_task.py
+++ b/packages/baobabring/baobabring/program/_probe_task.py
@@ -9,11 +9,11 @@
 from baobabring.targets import TargetClient
 from baobabring.utils import Clock
 
-STEP_S = 0.05
+PROBE_CHECK_INTERVAL_S = 0.05
 
 
 class ProbeTask:
-    """Probe what traffic doesn't show, and share what was found."""
+    """Probe the targets that are due, and share the results with peers."""
 
     def __init__(
         self,
@@ -28,23 +28,23 @@
         self.client = client
         self.link = link
         self.clock = clock
-        self._probes: set[asyncio.Task] = set()
+        self._probe_tasks: set[asyncio.Task] = set()
         self._ejected: frozenset[str] = frozenset()
         link.subscribe(SharedProbe, self.scheduler.apply_shared)
 
     async def run(self) -> None:
-        """Start probes that are due until cancelled."""
+        """Start the probes that are due, until cancelled."""
         while True:
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(PROBE_CHECK_INTERVAL_S)
             now_s = self.clock.now_s()
-            self.note_ejections(now_s)
+            self.schedule_ejection_probes(now_s)
             for target_id in self.scheduler.start_due_probes(now_s):
                 task = asyncio.ensure_future(self._probe(target_id))
-                self._probes.add(task)
-                task.add_done_callback(self._probes.discard)
+                self._probe_tasks.add(task)
+                task.add_done_callback(self._probe_tasks.discard)
 
-    def note_ejections(self, now_s: float) -> None:
-        """Let ejected targets and those that came back be probed soon."""
+    def schedule_ejection_probes(self, now_s: float) -> None:
+        """Schedule early probes of targets that were ejected or returned."""
         ejected = self.balancer.ejected
         for target_id in ejected - self._ejected:
             self.scheduler.set_reason(target_id, ProbeReason.EJECTED, now_s)
@@ -54,14 +54,14 @@
 
     async def _probe(self, target_id: str) -> None:
         PROBES.inc()
-        report = await self._ask(target_id)
+        report = await self._request_report(target_id)
         now_s = self.clock.now_s()
         if report is not None:
             self.balancer.report(target_id, report, now_s)
         shared = self.scheduler.record_probe_end(target_id, report is not None, now_s)
         self.link.broadcast(shared)
 
-    async def _ask(self, target_id: str):
+    async def _request_report(self, target_id: str):
         try:
             address = self.balancer.target(target_id).address
         except KeyError:
--- a/packages/baobabring/baobabring/program/_sharing_task.py
+++ b/packages/baobabring/baobabring/program/_sharing_task.py
@@ -1,4 +1,4 @@
-"""Sharing of calls in flight with peers."""
+"""Sharing of the numbers of calls in flight with peers."""
 
 from baobabring.balancing import Balancer, InFlightUpdate
 from baobabring.program._peer_link import PeerLink
@@ -6,13 +6,13 @@
 
 
 class SharingTask:
-    """Send own calls in flight when they are due, and take in those of peers."""
+    """Send this instance's calls in flight when due, and apply those of peers."""
 
     def __init__(self, balancer: Balancer, link: PeerLink, clock: Clock) -> None:
         self.balancer = balancer
         self.link = link
         self.clock = clock
-        link.subscribe(InFlightUpdate, self._heard)
+        link.subscribe(InFlightUpdate, self._on_update)
 
     def tick(self) -> None:
         """Send an update if one is due."""
@@ -20,5 +20,5 @@
         if update is not None:
             self.link.broadcast(update)
 
-    def _heard(self, update: InFlightUpdate) -> None:
+    def _on_update(self, update: InFlightUpdate) -> None:
         self.balancer.sharing.apply(update, self.clock.now_s())
--- a/packages/baobabring/baobabring/program/main.py
+++ b/packages/baobabring/baobabring/program/main.py
@@ -6,14 +6,14 @@
 import uvloop
 from absl import app, flags
 
+from baobabring.program._instance import AddressError, run_instance
 from baobabring.program._logs import create_log_handler
-from baobabring.program._node import AddressError, run_node
 from baobabring.program._plugins import find_unknown_plugins
 from baobabring.settings import InvalidSettings, Settings, read_settings
 
 EXIT_OK = 0
 EXIT_INVALID_SETTINGS = 2
-EXIT_ADDRESS = 3
+EXIT_UNUSABLE_ADDRESS = 3
 
 SETTINGS = flags.DEFINE_string("settings", None, "Path of the INI settings file.")
 CHECK = flags.DEFINE_bool("check", False, "Check the settings and exit.")
@@ -44,10 +44,10 @@
     handler = create_log_handler(settings.logging.format, settings.logging.level)
     with handler.applicationbound():
         try:
-            uvloop.run(run_node(settings))
+            uvloop.run(run_instance(settings))
         except AddressError as error:
             print(f"{name}: {error}", file=sys.stderr)
-            return EXIT_ADDRESS
+            return EXIT_UNUSABLE_ADDRESS
     return EXIT_OK
 
 
--- a/packages/baobabring/baobabring/program/tests/test_node.py
+++ b/packages/baobabring/baobabring/program/tests/test_instance.py
@@ -1,10 +1,10 @@
-"""Tests of the life of an instance."""
+"""Tests of the selection of active targets."""
 
 from baobabring.model import Configuration, Service, Target, TargetState
-from baobabring.program._node import targets_in_use
+from baobabring.program._instance import get_active_targets
 
 
-def test_only_targets_that_may_take_work_are_in_use():
+def test_draining_targets_and_zones_taken_out_are_not_active():
     targets = (
         Target("a", "127.0.0.1:1", "sapporo", 2),
         Target("b", "127.0.0.1:2", "sapporo", 2, TargetState.DRAINING),
@@ -12,4 +12,4 @@
     )
     service = Service("menu", "/menu", (), targets)
     configuration = Configuration(1, {"menu": service}, frozenset({"hakodate"}))
-    assert targets_in_use(configuration) == ["a"]
+    assert get_active_targets(configuration) == ["a"]
--- a/packages/baobabring/baobabring/program/tests/test_main.py
+++ b/packages/baobabring/baobabring/program/tests/test_main.py
@@ -19,11 +19,11 @@
 [platform]
 url = http://127.0.0.1:9
 """
-FREE = "127.0.0.1:0"
+ANY_PORT = "127.0.0.1:0"
 TIMEOUT_S = 30
 
 
-def run(*arguments):
+def run_program(*arguments):
     """Run the program until it ends by itself."""
     return subprocess.run(
         [sys.executable, "-m", "baobabring.program", *arguments],
@@ -34,43 +34,48 @@
     )
 
 
-def write(tmp_path, **addresses):
+def write_settings(tmp_path, **addresses):
     """Write a settings file."""
-    places = {"callers": FREE, "peers": FREE, "operators": FREE, **addresses}
+    bound_addresses = {
+        "callers": ANY_PORT,
+        "peers": ANY_PORT,
+        "operators": ANY_PORT,
+        **addresses,
+    }
     path = tmp_path / "a.ini"
-    path.write_text(SETTINGS.format(**places))
+    path.write_text(SETTINGS.format(**bound_addresses))
     return path
 
 
 def test_check_accepts_a_valid_file(tmp_path):
-    path = write(tmp_path)
-    result = run("--check", "--settings", str(path))
+    path = write_settings(tmp_path)
+    result = run_program("--check", "--settings", str(path))
     assert (result.returncode, result.stdout) == (0, f"{path}: valid\n")
 
 
-def test_check_names_every_problem(tmp_path):
-    path = write(tmp_path, callers="here", peers="127.0.0.1:x")
+def test_check_reports_every_problem(tmp_path):
+    path = write_settings(tmp_path, callers="here", peers="127.0.0.1:x")
     path.write_text(path.read_text() + "[balancing]\npolicy = best\n")
-    result = run("--check", "--settings", str(path))
+    result = run_program("--check", "--settings", str(path))
     assert result.returncode == 2
     assert "a.ini:5: [callers] address = 'here': expected HOST:PORT" in result.stderr
     assert "a.ini:7: [peers] address = '127.0.0.1:x'" in result.stderr
 
 
-def test_check_names_an_unknown_plugin(tmp_path):
-    path = write(tmp_path)
+def test_check_reports_an_unknown_plugin(tmp_path):
+    path = write_settings(tmp_path)
     path.write_text(path.read_text() + "[balancing]\npolicy = best\n")
-    result = run("--check", "--settings", str(path))
+    result = run_program("--check", "--settings", str(path))
     assert result.returncode == 2
     assert "unknown target policy 'best'; known: hot-cold" in result.stderr
 
 
 @pytest.mark.parametrize("section", ["callers", "peers", "operators"])
-def test_taken_address_is_told_with_its_place(tmp_path, section):
+def test_address_in_use_is_reported_with_its_section(tmp_path, section):
     with socket.create_server(("127.0.0.1", 0)) as taken:
         address = f"127.0.0.1:{taken.getsockname()[1]}"
-        path = write(tmp_path, **{section: address})
-        result = run("--settings", str(path))
+        path = write_settings(tmp_path, **{section: address})
+        result = run_program("--settings", str(path))
     assert result.returncode == 3
     assert f"[{section}] address = '{address}'" in result.stderr
     assert "Traceback" not in result.stderr
--- a/packages/baobabring/baobabring/program/tests/test_state_exchange.py
+++ b/packages/baobabring/baobabring/program/tests/test_state_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of passing the log's state between peers."""
+"""Tests of the exchange of the log's state between peers."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -12,13 +12,13 @@
 from baobabring.platform import InstanceInfo, InstanceState
 from baobabring.program._state_exchange import StateExchange
 
-ASK_LIMIT_S = 2.0
+OBSERVED_TIME_S = 2.0
 STEP_S = 0.1
 
 
 @dataclass
 class FakeClock:
-    """Tell the time that a test has set."""
+    """Return the time that a test has set."""
 
     time_s: float = 1_000.0
 
@@ -29,7 +29,7 @@
 
 @dataclass
 class FakeLink:
-    """Keep what was sent."""
+    """Store the sent messages."""
 
     sent: list = field(default_factory=list)
 
@@ -37,12 +37,12 @@
         """Ignore the subscription."""
 
     def send(self, address, message) -> None:
-        """Keep a message."""
+        """Store a message."""
         self.sent.append((address, message))
 
 
 @pytest.fixture
-def world():
+def harness():
     """Return an exchange whose reader is at offset 5, with its fakes."""
     clock, link = FakeClock(), FakeLink()
     listeners = []
@@ -56,43 +56,49 @@
     )
     balancer = create_balancer("own", "z", BalancingSettings(), Random(1))
     StateExchange(reader, membership, balancer.cold_start, link, clock)
-    return SimpleNamespace(clock=clock, link=link, hear=listeners[0], reader=reader)
+    return SimpleNamespace(
+        clock=clock, link=link, receive_heartbeat=listeners[0], reader=reader
+    )
 
 
-def heartbeat(sender: str, config_offset: int) -> Heartbeat:
+def make_heartbeat(sender: str, config_offset: int) -> Heartbeat:
     """Return a heartbeat of a peer."""
     return Heartbeat(
         sender, "z", sender, 1, 0.0, InstanceState.LIVE, 1, config_offset, 0.0
     )
 
 
-def asked(world) -> list[str]:
-    """Return whom requests went to."""
-    return [to for to, message in world.link.sent if isinstance(message, StateRequest)]
-
-
-def test_first_peer_heard_is_asked_once(world):
-    world.hear(heartbeat("a", 5))
-    world.hear(heartbeat("b", 5))
-    assert asked(world) == ["a"]
-
-
-def test_peer_ahead_is_asked_although_others_are_behind_too(world):
-    world.hear(heartbeat("behind", 5))
-    world.link.sent.clear()
-    for _ in range(int(ASK_LIMIT_S / STEP_S)):
-        world.clock.time_s += STEP_S
-        world.hear(heartbeat("ahead", 6))
-        world.hear(heartbeat("behind", 5))
-    assert set(asked(world)) == {"ahead"}
-
-
-def test_nobody_is_asked_when_the_log_brings_the_records_soon(world):
-    world.hear(heartbeat("a", 5))
-    world.link.sent.clear()
-    world.hear(heartbeat("a", 6))
-    world.reader.fold.next_offset = 6
-    for _ in range(int(ASK_LIMIT_S / STEP_S)):
-        world.clock.time_s += STEP_S
-        world.hear(heartbeat("a", 6))
-    assert asked(world) == []
+def get_request_addresses(harness) -> list[str]:
+    """Return the addresses that requests were sent to."""
+    return [
+        address
+        for address, message in harness.link.sent
+        if isinstance(message, StateRequest)
+    ]
+
+
+def test_only_first_heartbeat_after_start_triggers_a_request(harness):
+    harness.receive_heartbeat(make_heartbeat("a", 5))
+    harness.receive_heartbeat(make_heartbeat("b", 5))
+    assert get_request_addresses(harness) == ["a"]
+
+
+def test_peer_ahead_is_asked_while_other_peers_are_not_ahead(harness):
+    harness.receive_heartbeat(make_heartbeat("behind", 5))
+    harness.link.sent.clear()
+    for _ in range(int(OBSERVED_TIME_S / STEP_S)):
+        harness.clock.time_s += STEP_S
+        harness.receive_heartbeat(make_heartbeat("ahead", 6))
+        harness.receive_heartbeat(make_heartbeat("behind", 5))
+    assert set(get_request_addresses(harness)) == {"ahead"}
+
+
+def test_no_peer_is_asked_if_the_log_delivers_the_records_soon(harness):
+    harness.receive_heartbeat(make_heartbeat("a", 5))
+    harness.link.sent.clear()
+    harness.receive_heartbeat(make_heartbeat("a", 6))
+    harness.reader.fold.next_offset = 6
+    for _ in range(int(OBSERVED_TIME_S / STEP_S)):
+        harness.clock.time_s += STEP_S
+        harness.receive_heartbeat(make_heartbeat("a", 6))
+    assert get_request_addresses(harness) == []
