--- a/benchmarks/capacity_configuration.py
+++ b/benchmarks/capacity_configuration.py
@@ -5,7 +5,7 @@
 from baobabring.balancing import BalancingSettings, create_balancer
 from baobabring.configuration import (
     ChangeRecord,
-    ConfigurationFold,
+    ConfigurationReplica,
     PutService,
     SetTargetState,
     encode_record,
@@ -56,9 +56,9 @@
     return LogRecord(offset, NOW_S, encode_record(record))
 
 
-def make_fold(services: int) -> ConfigurationFold:
+def make_fold(services: int) -> ConfigurationReplica:
     """Return a fold with this many services of 25 targets."""
-    fold = ConfigurationFold()
+    fold = ConfigurationReplica()
     for number in range(services):
         fold.apply(record_of(number, PutService(make_service(number))))
     if len(fold.configuration.services) != services:
@@ -129,7 +129,7 @@
 def load_snapshot(services: int):
     """Return an action that loads the state of a peer."""
     payload = make_fold(services).snapshot_payload()
-    return lambda: ConfigurationFold().load(payload)
+    return lambda: ConfigurationReplica().load(payload)
 
 
 if __name__ == "__main__":
--- a/packages/baobabring/baobabring/configuration/__init__.py
+++ b/packages/baobabring/baobabring/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration as a deterministic fold over the records of the log."""
+"""Configuration replicated by applying the records of the log in order."""
 
 from baobabring.configuration._changes import (
     Change,
@@ -15,30 +15,30 @@
     decode_record,
     encode_record,
 )
-from baobabring.configuration._fold import ConfigurationFold
-from baobabring.configuration._validation import validate_change
-from baobabring.configuration._verdicts import (
+from baobabring.configuration._outcomes import (
     Accepted,
     ApplyOutcome,
+    Buffered,
+    ChangeVerdict,
     Conflict,
     Finding,
-    Held,
     Rejected,
     Skipped,
-    SnapshotNoted,
-    Verdict,
+    SnapshotApplied,
 )
+from baobabring.configuration._replica import ConfigurationReplica
+from baobabring.configuration._validation import validate_change
 
 __all__ = [
     "Accepted",
     "ApplyOutcome",
     "Change",
     "ChangeRecord",
-    "ConfigurationFold",
+    "ConfigurationReplica",
     "Conflict",
     "DeleteService",
     "Finding",
-    "Held",
+    "Buffered",
     "PutService",
     "PutTarget",
     "RecentVerdict",
@@ -47,10 +47,10 @@
     "SetTargetState",
     "SetZoneState",
     "Skipped",
-    "SnapshotNoted",
+    "SnapshotApplied",
     "SnapshotRecord",
     "Undecodable",
-    "Verdict",
+    "ChangeVerdict",
     "decode_record",
     "encode_record",
     "validate_change",
--- a/packages/baobabring/baobabring/configuration/_application.py
+++ b/packages/baobabring/baobabring/configuration/_application.py
@@ -61,15 +61,15 @@
 
 
 def _put_service(configuration: Configuration, service: Service) -> Service:
-    earlier = configuration.services.get(service.service_id)
-    if service.targets or earlier is None:
+    previous = configuration.services.get(service.service_id)
+    if service.targets or previous is None:
         return service
-    return replace(service, targets=earlier.targets)
+    return replace(service, targets=previous.targets)
 
 
 def _put_target(service: Service, target: Target) -> tuple[Target, ...]:
-    known = any(t.target_id == target.target_id for t in service.targets)
-    if not known:
+    exists = any(t.target_id == target.target_id for t in service.targets)
+    if not exists:
         return (*service.targets, target)
     return tuple(
         target if t.target_id == target.target_id else t for t in service.targets
--- a/packages/baobabring/baobabring/configuration/_changes.py
+++ b/packages/baobabring/baobabring/configuration/_changes.py
@@ -5,12 +5,12 @@
 import msgspec
 from msgspec import Struct
 
-from baobabring.configuration._verdicts import Verdict
+from baobabring.configuration._outcomes import ChangeVerdict
 from baobabring.model import Configuration, Service, Target, TargetState, ZoneState
 
 
 class PutService(Struct, frozen=True, tag="put_service"):
-    """Create or replace a service; without targets, the earlier ones stay."""
+    """Create or replace a service; if it has no targets, keep the previous ones."""
 
     service: Service
 
@@ -44,7 +44,7 @@
 
 
 class SetZoneState(Struct, frozen=True, tag="set_zone_state"):
-    """Take an availability zone out or in."""
+    """Take an availability zone out of service or put it back."""
 
     zone: str
     state: ZoneState
@@ -61,7 +61,7 @@
 
 
 class ChangeRecord(Struct, frozen=True, tag="change", tag_field="record"):
-    """Propose a change of the configuration as of `base_revision`."""
+    """Represent a proposed change, based on the configuration at `base_revision`."""
 
     change_id: str
     base_revision: int
@@ -69,14 +69,14 @@
 
 
 class RecentVerdict(Struct, frozen=True):
-    """Hold what became of one recent change."""
+    """Represent the verdict on one recent change."""
 
     change_id: str
-    verdict: Verdict
+    verdict: ChangeVerdict
 
 
 class SnapshotRecord(Struct, frozen=True, tag="snapshot", tag_field="record"):
-    """Hold the state after the record at `through_offset`.
+    """Represent the state after the record at `through_offset`.
 
     `uncovered_at_s` is the append time of the oldest record that no snapshot in the
     log covers, as far as the writer knew.
@@ -94,12 +94,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Undecodable:
-    """Tell that a payload holds no record of this stream."""
+    """Report that a payload is not a record of this stream."""
 
     problem: str
 
 
-# Equal states must encode equally, so sets and maps are written in order.
+# Writes sets and maps in sorted order, since equal states must give equal bytes.
 _encoder = msgspec.json.Encoder(order="deterministic")
 _decoder = msgspec.json.Decoder(Record)
 
@@ -110,7 +110,7 @@
 
 
 def decode_record(payload: bytes) -> Record | Undecodable:
-    """Return the record of a payload, or say why there is none."""
+    """Return the record of a payload, or `Undecodable` with the problem."""
     try:
         return _decoder.decode(payload)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
--- a/packages/baobabring/baobabring/configuration/_fold.py
+++ b/packages/baobabring/baobabring/configuration/_replica.py
@@ -1,4 +1,4 @@
-"""Fold of the configuration stream."""
+"""Replica of the configuration, built from the records of its stream."""
 
 from collections import deque
 from dataclasses import dataclass, replace
@@ -13,35 +13,36 @@
     decode_record,
     encode_record,
 )
-from baobabring.configuration._validation import validate_change
-from baobabring.configuration._verdicts import (
+from baobabring.configuration._outcomes import (
     Accepted,
     ApplyOutcome,
+    Buffered,
+    ChangeVerdict,
     Conflict,
-    Held,
     Rejected,
     Skipped,
-    SnapshotNoted,
-    Verdict,
+    SnapshotApplied,
 )
+from baobabring.configuration._validation import validate_change
 from baobabring.model import Configuration
 from baobabring.platform import LogRecord, Page
 
 MAX_RECENT_VERDICTS = 256
+# Shares of the retention; the age at which a snapshot is due is drawn between them.
 MIN_SNAPSHOT_AGE_SHARE = 0.25
 MAX_SNAPSHOT_AGE_SHARE = 0.5
 
 
 @dataclass(frozen=True, slots=True)
-class _Uncovered:
+class _UncoveredRecord:
     offset: int
     appended_at_s: float
 
 
-class ConfigurationFold:
+class ConfigurationReplica:
     """Apply records in the order of their offsets.
 
-    Two folds that applied the same prefix of the stream hold the same configuration
+    Two replicas that applied the same prefix of the stream have the same configuration
     and verdicts. After a gap (records that expired unread) the configuration is that
     of an earlier prefix until a snapshot covers the gap; neither offset nor revision
     ever decreases.
@@ -50,10 +51,10 @@
     def __init__(self) -> None:
         self._configuration = Configuration()
         self._next_offset = 0
-        self._verdicts: dict[str, Verdict] = {}
+        self._recent_verdicts: dict[str, ChangeVerdict] = {}
         self._gap_end: int | None = None
-        self._held: list[LogRecord] = []
-        self._uncovered: deque[_Uncovered] = deque()
+        self._buffered_records: list[LogRecord] = []
+        self._uncovered: deque[_UncoveredRecord] = deque()
         self._snapshot_age_share: float | None = None
         self._undecodable_count = 0
 
@@ -64,7 +65,7 @@
 
     @property
     def next_offset(self) -> int:
-        """Return the first offset that the configuration does not include."""
+        """Return the first offset whose record is not yet applied."""
         return self._next_offset
 
     @property
@@ -72,11 +73,11 @@
         """Return the offset to read next; differs from `next_offset` after a gap."""
         if self._gap_end is None:
             return self._next_offset
-        return self._gap_end + len(self._held)
+        return self._gap_end + len(self._buffered_records)
 
     @property
     def needs_snapshot(self) -> bool:
-        """Tell whether records are missing that only a snapshot can replace."""
+        """Return whether records are missing that only a snapshot can replace."""
         return self._gap_end is not None
 
     @property
@@ -84,40 +85,40 @@
         """Return how many undecodable records were skipped."""
         return self._undecodable_count
 
-    def verdict(self, change_id: str) -> Verdict | None:
+    def get_verdict(self, change_id: str) -> ChangeVerdict | None:
         """Return the verdict on a recent change, or None if it is not known."""
-        return self._verdicts.get(change_id)
+        return self._recent_verdicts.get(change_id)
 
     def apply(self, record: LogRecord) -> ApplyOutcome:
-        """Apply one record; records that were applied before have no effect."""
+        """Apply one record; a record that was already applied has no effect."""
         if record.offset < self.read_offset:
-            return Skipped(problem=f"offset {record.offset} was applied before")
+            return Skipped(problem=f"offset {record.offset} was already applied")
         if record.offset > self.read_offset:
             self._open_gap(record.offset)
         if self.needs_snapshot:
-            return self._hold(record)
+            return self._buffer_record(record)
         return self._apply_next(record)
 
     def apply_page(self, page: Page) -> tuple[ApplyOutcome, ...]:
-        """Apply the records of a page and note what expired before it."""
-        self.open_page(page)
+        """Apply the records of a page; open a gap if records before it have expired."""
+        self.detect_gap(page)
         return tuple(self.apply(record) for record in page.records)
 
-    def open_page(self, page: Page) -> None:
-        """Note what expired before a page whose records are applied one by one."""
+    def detect_gap(self, page: Page) -> None:
+        """Open a gap if records before the page have expired, without applying it."""
         if page.earliest_offset > self.read_offset:
             self._open_gap(page.earliest_offset)
 
     def load(self, payload: bytes) -> bool:
-        """Take the state of a peer if it is newer; return whether it was."""
+        """Load a snapshot from a peer if it is newer; return whether it was loaded."""
         snapshot = decode_record(payload)
         if not isinstance(snapshot, SnapshotRecord) or not self._is_newer(snapshot):
             return False
-        self._adopt(snapshot)
+        self._restore_snapshot(snapshot)
         self._uncovered.clear()
         if snapshot.uncovered_at_s is not None:
             self._uncovered.append(
-                _Uncovered(snapshot.through_offset, snapshot.uncovered_at_s)
+                _UncoveredRecord(snapshot.through_offset, snapshot.uncovered_at_s)
             )
         self._snapshot_age_share = None
         self._close_gap_if_covered()
@@ -131,7 +132,7 @@
             configuration=self._configuration,
             recent_verdicts=tuple(
                 RecentVerdict(change_id, verdict)
-                for change_id, verdict in self._verdicts.items()
+                for change_id, verdict in self._recent_verdicts.items()
             ),
             uncovered_at_s=self._uncovered[0].appended_at_s
             if self._uncovered
@@ -139,11 +140,11 @@
         )
         return encode_record(snapshot)
 
-    def snapshot_due(self, now_s: float, retention_s: float, rng: Random) -> bool:
-        """Tell whether to write a snapshot before the log loses records it needs.
+    def is_snapshot_due(self, now_s: float, retention_s: float, rng: Random) -> bool:
+        """Return whether a snapshot must be written before uncovered records expire.
 
-        The share of the retention after which it is due is drawn once for each
-        snapshot, so that the first instance to write spares the others the work.
+        Each instance draws the age at which the next snapshot is due at random, once
+        for each snapshot, so that usually only the first of them writes it.
         """
         if self.needs_snapshot or not self._uncovered:
             return False
@@ -156,19 +157,19 @@
 
     def _open_gap(self, gap_end: int) -> None:
         self._gap_end = gap_end
-        self._held.clear()
+        self._buffered_records.clear()
 
-    def _hold(self, record: LogRecord) -> ApplyOutcome:
-        self._held.append(record)
+    def _buffer_record(self, record: LogRecord) -> ApplyOutcome:
+        self._buffered_records.append(record)
         snapshot = decode_record(record.payload)
         if not isinstance(snapshot, SnapshotRecord):
-            return Held()
+            return Buffered()
         if snapshot.through_offset >= record.offset or not self._is_newer(snapshot):
-            return Held()
-        self._adopt(snapshot)
+            return Buffered()
+        self._restore_snapshot(snapshot)
         self._uncovered.clear()
         self._close_gap_if_covered()
-        return SnapshotNoted(through_offset=snapshot.through_offset)
+        return SnapshotApplied(through_offset=snapshot.through_offset)
 
     def _is_newer(self, snapshot: SnapshotRecord) -> bool:
         return (
@@ -177,11 +178,11 @@
             and snapshot.revision <= snapshot.through_offset + 1
         )
 
-    def _adopt(self, snapshot: SnapshotRecord) -> None:
+    def _restore_snapshot(self, snapshot: SnapshotRecord) -> None:
         self._configuration = replace(
             snapshot.configuration, revision=snapshot.revision
         )
-        self._verdicts = {
+        self._recent_verdicts = {
             recent.change_id: recent.verdict for recent in snapshot.recent_verdicts
         }
         self._next_offset = snapshot.through_offset + 1
@@ -189,49 +190,53 @@
     def _close_gap_if_covered(self) -> None:
         if self._gap_end is None or self._next_offset < self._gap_end:
             return
-        held = tuple(self._held)
+        buffered_records = tuple(self._buffered_records)
         self._gap_end = None
-        self._held.clear()
-        for record in held:
+        self._buffered_records.clear()
+        for record in buffered_records:
             if record.offset >= self._next_offset:
                 self._apply_next(record)
 
     def _apply_next(self, record: LogRecord) -> ApplyOutcome:
         self._next_offset = record.offset + 1
-        self._uncovered.append(_Uncovered(record.offset, record.appended_at_s))
+        self._uncovered.append(_UncoveredRecord(record.offset, record.appended_at_s))
         match decode_record(record.payload):
             case Undecodable(problem=problem):
                 self._undecodable_count += 1
                 return Skipped(problem=problem)
             case SnapshotRecord(through_offset=through_offset):
-                return self._note_snapshot(through_offset, record.offset)
-            case ChangeRecord(change_id=change_id) if change_id in self._verdicts:
-                return Skipped(problem=f"change {change_id} was judged before")
-            case ChangeRecord() as proposal:
-                verdict = self._judge(proposal, record.offset)
-                self._remember(proposal.change_id, verdict)
+                return self._record_snapshot(through_offset, record.offset)
+            case ChangeRecord(change_id=change_id) if (
+                change_id in self._recent_verdicts
+            ):
+                return Skipped(problem=f"change {change_id} already has a verdict")
+            case ChangeRecord() as change_record:
+                verdict = self._decide_change(change_record, record.offset)
+                self._record_verdict(change_record.change_id, verdict)
                 return verdict
 
-    def _note_snapshot(self, through_offset: int, offset: int) -> ApplyOutcome:
+    def _record_snapshot(self, through_offset: int, offset: int) -> ApplyOutcome:
         if through_offset >= offset:
-            return Skipped(problem=f"snapshot through {through_offset} is at {offset}")
+            return Skipped(
+                problem=f"snapshot at {offset} claims to cover {through_offset}"
+            )
         while self._uncovered[0].offset <= through_offset:
             self._uncovered.popleft()
             self._snapshot_age_share = None
-        return SnapshotNoted(through_offset=through_offset)
+        return SnapshotApplied(through_offset=through_offset)
 
-    def _judge(self, proposal: ChangeRecord, offset: int) -> Verdict:
-        if proposal.base_revision != self._configuration.revision:
+    def _decide_change(self, change_record: ChangeRecord, offset: int) -> ChangeVerdict:
+        if change_record.base_revision != self._configuration.revision:
             return Conflict(current_revision=self._configuration.revision)
-        findings = validate_change(self._configuration, proposal.change)
+        findings = validate_change(self._configuration, change_record.change)
         if findings:
             return Rejected(findings=findings)
         self._configuration = apply_change(
-            self._configuration, proposal.change, revision=offset + 1
+            self._configuration, change_record.change, revision=offset + 1
         )
         return Accepted(revision=offset + 1)
 
-    def _remember(self, change_id: str, verdict: Verdict) -> None:
-        self._verdicts[change_id] = verdict
-        while len(self._verdicts) > MAX_RECENT_VERDICTS:
-            del self._verdicts[next(iter(self._verdicts))]
+    def _record_verdict(self, change_id: str, verdict: ChangeVerdict) -> None:
+        self._recent_verdicts[change_id] = verdict
+        while len(self._recent_verdicts) > MAX_RECENT_VERDICTS:
+            del self._recent_verdicts[next(iter(self._recent_verdicts))]
--- a/packages/baobabring/baobabring/configuration/_validation.py
+++ b/packages/baobabring/baobabring/configuration/_validation.py
@@ -13,7 +13,7 @@
     SetTargetState,
     SetZoneState,
 )
-from baobabring.configuration._verdicts import Finding
+from baobabring.configuration._outcomes import Finding
 from baobabring.model import Configuration, Rule, Service, Target, ZoneState
 
 MAX_SLOTS = 10_000
@@ -41,17 +41,19 @@
         case PutService(service=service):
             yield from _service_findings(configuration, service)
         case DeleteService(service_id=service_id):
-            yield from _known_service_findings(configuration, service_id)
+            yield from _missing_service_findings(configuration, service_id)
         case PutTarget(service_id=service_id, target=target):
-            yield from _known_service_findings(configuration, service_id)
+            yield from _missing_service_findings(configuration, service_id)
             yield from _target_findings("target", target)
             if service_id in configuration.services:
-                yield from _owner_findings(configuration, service_id, "target", target)
-            yield from _other_target_findings(configuration, service_id, target)
+                yield from _target_owner_findings(
+                    configuration, service_id, "target", target
+                )
+            yield from _address_owner_findings(configuration, service_id, target)
         case RemoveTarget(service_id=service_id, target_id=target_id):
-            yield from _known_target_findings(configuration, service_id, target_id)
+            yield from _missing_target_findings(configuration, service_id, target_id)
         case SetTargetState(service_id=service_id, target_id=target_id):
-            yield from _known_target_findings(configuration, service_id, target_id)
+            yield from _missing_target_findings(configuration, service_id, target_id)
         case SetZoneState(zone=zone, state=state):
             yield from _zone_findings(configuration, zone, state)
 
@@ -67,9 +69,11 @@
     for index, target in enumerate(service.targets):
         place = f"service.targets[{index}]"
         yield from _target_findings(place, target)
-        yield from _owner_findings(configuration, service.service_id, place, target)
-    yield from _repeated_findings(service, "target_id")
-    yield from _repeated_findings(service, "address")
+        yield from _target_owner_findings(
+            configuration, service.service_id, place, target
+        )
+    yield from _duplicate_findings(service, "target_id")
+    yield from _duplicate_findings(service, "address")
 
 
 def _prefix_findings(
@@ -108,19 +112,22 @@
     yield from _range_findings(f"{place}.slots", target.slots, 1, MAX_SLOTS)
 
 
-def _owner_findings(
+def _target_owner_findings(
     configuration: Configuration, service_id: str, place: str, target: Target
 ) -> Iterator[Finding]:
-    # Calls in flight, ejections and cold starts are kept by the id of a target.
+    # Calls in flight, ejections and cold starts are tracked by target id alone, so an
+    # id must be unique across all services.
     for other in configuration.services.values():
         if other.service_id == service_id:
             continue
-        if any(target.target_id == taken.target_id for taken in other.targets):
+        if any(
+            target.target_id == other_target.target_id for other_target in other.targets
+        ):
             problem = f"{target.target_id!r} belongs to service {other.service_id!r}"
             yield Finding(f"{place}.target_id", problem)
 
 
-def _repeated_findings(service: Service, field: str) -> Iterator[Finding]:
+def _duplicate_findings(service: Service, field: str) -> Iterator[Finding]:
     first_places: dict[str, str] = {}
     for index, target in enumerate(service.targets):
         value = getattr(target, field)
@@ -131,7 +138,7 @@
             first_places[value] = place
 
 
-def _other_target_findings(
+def _address_owner_findings(
     configuration: Configuration, service_id: str, target: Target
 ) -> Iterator[Finding]:
     service = configuration.services.get(service_id)
@@ -145,14 +152,14 @@
             )
 
 
-def _known_service_findings(
+def _missing_service_findings(
     configuration: Configuration, service_id: str
 ) -> Iterator[Finding]:
     if service_id not in configuration.services:
         yield Finding("service_id", f"no service {service_id!r}")
 
 
-def _known_target_findings(
+def _missing_target_findings(
     configuration: Configuration, service_id: str, target_id: str
 ) -> Iterator[Finding]:
     service = configuration.services.get(service_id)
@@ -167,7 +174,7 @@
     configuration: Configuration, zone: str, state: ZoneState
 ) -> Iterator[Finding]:
     yield from _id_findings("zone", zone)
-    # A mistyped zone must not look as if it had been taken out.
+    # Without this check a mistyped zone would be accepted as taken out.
     known = _known_zones(configuration)
     if state is ZoneState.OUT and zone not in known:
         names = ", ".join(sorted(known)) or "none"
@@ -197,7 +204,7 @@
 
 def _address_findings(place: str, address: str) -> Iterator[Finding]:
     if not _is_address(address):
-        yield Finding(place, f"must be an IP number and a port, got {address!r}")
+        yield Finding(place, f"must be an IP address and a port, got {address!r}")
 
 
 def _is_address(address: str) -> bool:
--- a/packages/baobabring/baobabring/configuration/tests/builders.py
+++ b/packages/baobabring/baobabring/configuration/tests/builders.py
@@ -1,6 +1,6 @@
-"""Builders of records, pages and folds for the tests."""
+"""Builders of records, pages and replicas for the tests."""
 
-from baobabring.configuration import ChangeRecord, ConfigurationFold, encode_record
+from baobabring.configuration import ChangeRecord, ConfigurationReplica, encode_record
 from baobabring.model import Service, Target
 from baobabring.platform import LogRecord, Page
 
@@ -31,13 +31,13 @@
     return Page(earliest_offset, len(records), records[start : start + count])
 
 
-def fold_all(records: tuple) -> ConfigurationFold:
-    fold = ConfigurationFold()
+def replay_records(records: tuple) -> ConfigurationReplica:
+    replica = ConfigurationReplica()
     for record in records:
-        fold.apply(record)
-    return fold
+        replica.apply(record)
+    return replica
 
 
-def state_of(fold: ConfigurationFold) -> tuple:
-    verdicts = tuple(fold.verdict(f"c{step}") for step in range(30))
-    return fold.next_offset, fold.configuration, verdicts
+def get_state(replica: ConfigurationReplica) -> tuple:
+    verdicts = tuple(replica.get_verdict(f"c{step}") for step in range(30))
+    return replica.next_offset, replica.configuration, verdicts
--- a/packages/baobabring/baobabring/configuration/tests/test_fold_properties.py
+++ b/packages/baobabring/baobabring/configuration/tests/test_replica_properties.py
@@ -1,11 +1,11 @@
-"""Properties of the fold under any history of the stream."""
+"""Property tests of the configuration replica for any history of the stream."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from baobabring.configuration import (
     Accepted,
-    ConfigurationFold,
+    ConfigurationReplica,
     DeleteService,
     PutService,
     RemoveTarget,
@@ -15,13 +15,13 @@
     decode_record,
 )
 from baobabring.configuration.tests.builders import (
-    fold_all,
+    get_state,
     make_page,
     make_payload,
     make_records,
     make_service,
     make_target,
-    state_of,
+    replay_records,
 )
 from baobabring.model import TargetState, ZoneState
 
@@ -57,12 +57,12 @@
 
 
 def write_history(steps: list) -> tuple:
-    """Return the records that operators and lagging snapshot writers leave."""
+    """Return the records that operators and lagging snapshot writers append."""
     payloads: list[bytes] = []
-    fold = ConfigurationFold()
+    replica = ConfigurationReplica()
     for step, (kind, number, detail) in enumerate(steps):
         if kind == "change":
-            base_revision = max(0, fold.configuration.revision - number // 2)
+            base_revision = max(0, replica.configuration.revision - number // 2)
             payloads.append(make_payload(f"c{step}", base_revision, detail))
         elif kind == "duplicate" and payloads:
             payloads.append(payloads[number % len(payloads)])
@@ -71,14 +71,16 @@
         elif kind == "snapshot":
             covered = max(0, len(payloads) - number)
             payloads.append(
-                fold_all(make_records(payloads[:covered])).snapshot_payload()
+                replay_records(make_records(payloads[:covered])).snapshot_payload()
             )
-        fold = fold_all(make_records(payloads))
+        replica = replay_records(make_records(payloads))
     return make_records(payloads)
 
 
-def assert_holds_a_prefix(fold: ConfigurationFold, records: tuple) -> None:
-    assert state_of(fold) == state_of(fold_all(records[: fold.next_offset]))
+def assert_state_of_prefix(replica: ConfigurationReplica, records: tuple) -> None:
+    assert get_state(replica) == get_state(
+        replay_records(records[: replica.next_offset])
+    )
 
 
 @PROFILE
@@ -86,18 +88,18 @@
 def test_the_same_prefix_gives_the_same_state(steps):
     records = write_history(steps)
     for end in range(len(records) + 1):
-        first = fold_all(records[:end])
-        second = fold_all(records[:end])
+        first = replay_records(records[:end])
+        second = replay_records(records[:end])
         assert first.snapshot_payload() == second.snapshot_payload()
 
 
 @PROFILE
 @given(STEPS)
 def test_accepted_revisions_are_distinct_and_grow(steps):
-    fold = ConfigurationFold()
+    replica = ConfigurationReplica()
     revisions = []
     for record in write_history(steps):
-        outcome = fold.apply(record)
+        outcome = replica.apply(record)
         if isinstance(outcome, Accepted):
             revisions.append(outcome.revision)
     assert revisions == sorted(set(revisions))
@@ -107,12 +109,12 @@
 @given(STEPS, st.lists(st.integers(0, 30), max_size=40))
 def test_records_delivered_again_change_nothing(steps, repeats):
     records = write_history(steps)
-    fold = ConfigurationFold()
+    replica = ConfigurationReplica()
     for index, record in enumerate(records):
-        fold.apply(record)
+        replica.apply(record)
         for repeat in repeats[index : index + 2]:
-            fold.apply(records[repeat % (index + 1)])
-    assert state_of(fold) == state_of(fold_all(records))
+            replica.apply(records[repeat % (index + 1)])
+    assert get_state(replica) == get_state(replay_records(records))
 
 
 @PROFILE
@@ -122,17 +124,17 @@
 ):
     records = write_history(steps)
     known, earliest = min(known, len(records)), min(earliest, len(records))
-    whole = fold_all(records)
-    fold = fold_all(records[:known])
-    fold.apply_page(make_page(records, earliest, known))
+    whole = replay_records(records)
+    replica = replay_records(records[:known])
+    replica.apply_page(make_page(records, earliest, known))
     covered = earliest <= known or any(
         isinstance(record, SnapshotRecord) and record.through_offset + 1 >= earliest
         for record in map(decode_record, (r.payload for r in records[earliest:]))
     )
-    assert fold.needs_snapshot is not covered
+    assert replica.needs_snapshot is not covered
     if covered:
-        assert state_of(fold) == state_of(whole)
-        assert fold.snapshot_payload() == whole.snapshot_payload()
+        assert get_state(replica) == get_state(whole)
+        assert replica.snapshot_payload() == whole.snapshot_payload()
 
 
 @settings(PROFILE, max_examples=200)
@@ -144,18 +146,18 @@
 )
 def test_the_state_is_always_that_of_a_prefix_that_grows(steps, events):
     records = write_history(steps)
-    fold = ConfigurationFold()
+    replica = ConfigurationReplica()
     earliest = 0
     seen = (0, 0)
     for from_peer, number, count in events:
         number = min(number, len(records))
         if from_peer:
-            fold.load(fold_all(records[:number]).snapshot_payload())
+            replica.load(replay_records(records[:number]).snapshot_payload())
         else:
             earliest = max(earliest, number)
-            fold.apply_page(make_page(records, earliest, fold.read_offset, count))
-        assert_holds_a_prefix(fold, records)
-        now = (fold.next_offset, fold.configuration.revision)
+            replica.apply_page(make_page(records, earliest, replica.read_offset, count))
+        assert_state_of_prefix(replica, records)
+        now = (replica.next_offset, replica.configuration.revision)
         assert now[0] >= seen[0]
         assert now[1] >= seen[1]
         seen = now
@@ -168,7 +170,7 @@
 ):
     records = write_history(steps)
     peer_end, own_end = min(peer_end, len(records)), min(own_end, len(records))
-    fold = fold_all(records[:own_end])
-    fold.load(fold_all(records[:peer_end]).snapshot_payload())
-    fold.apply_page(make_page(records, min(fold.read_offset, len(records))))
-    assert state_of(fold) == state_of(fold_all(records))
+    replica = replay_records(records[:own_end])
+    replica.load(replay_records(records[:peer_end]).snapshot_payload())
+    replica.apply_page(make_page(records, min(replica.read_offset, len(records))))
+    assert get_state(replica) == get_state(replay_records(records))
--- a/packages/baobabring/baobabring/configuration/tests/test_validation.py
+++ b/packages/baobabring/baobabring/configuration/tests/test_validation.py
@@ -26,21 +26,21 @@
 CONFIGURATION = Configuration(revision=3, services={"menu": MENU})
 
 
-def places(change) -> list[str]:
+def get_places(change) -> list[str]:
     return [finding.place for finding in validate_change(CONFIGURATION, change)]
 
 
 def test_a_valid_service_has_no_findings():
     rule = Rule("GET", "/fees/*", KeyRule.NONE, 600_000, "payment", 0)
     target = Target("t9", "[::1]:65535", "córdoba", 10_000)
-    assert places(PutService(Service("fees", "/fees", (rule,), (target,)))) == []
+    assert get_places(PutService(Service("fees", "/fees", (rule,), (target,)))) == []
 
 
-def test_all_findings_of_a_service_come_together():
+def test_all_findings_of_a_service_are_returned_together():
     rule = Rule("get", "orders", KeyRule.NONE, 0, "", 1001)
     target = Target("a b", "host:80", "", 0)
     service = Service("", "menu", (rule,), (target, target), cold_limit=0)
-    assert places(PutService(service)) == [
+    assert get_places(PutService(service)) == [
         "service.service_id",
         "service.path_prefix",
         "service.cold_limit",
@@ -78,7 +78,7 @@
     assert finding.problem == "'t1' belongs to service 'menu'"
 
 
-def test_a_put_target_takes_no_id_of_another_service():
+def test_a_put_target_must_not_use_an_id_of_another_service():
     fees = Service("fees", "/fees", (), ())
     configuration = Configuration(4, {"menu": MENU, "fees": fees})
     change = PutTarget("fees", Target("t1", "10.0.0.9:80", "sapporo", 2))
@@ -88,16 +88,16 @@
 
 def test_an_address_belongs_to_one_target_of_a_service():
     change = PutTarget("menu", Target("t2", "10.0.0.1:80", "sapporo", 2))
-    assert places(change) == ["target.address"]
+    assert get_places(change) == ["target.address"]
 
 
 @pytest.mark.parametrize(
     "address",
     ["10.0.0.1", "10.0.0.1:0", "10.0.0.1:65536", "10.0.0.256:80", "::1:80", "[x]:1"],
 )
-def test_an_address_is_an_ip_number_and_a_port(address):
+def test_an_address_is_an_ip_address_and_a_port(address):
     change = PutTarget("menu", Target("t2", address, "sapporo", 2))
-    assert places(change) == ["target.address"]
+    assert get_places(change) == ["target.address"]
 
 
 @pytest.mark.parametrize(
@@ -111,5 +111,5 @@
         (SetZoneState("saporo", ZoneState.OUT), "zone"),
     ],
 )
-def test_what_is_not_known_is_found(change, place):
-    assert places(change) == [place]
+def test_unknown_services_targets_and_zones_are_found(change, place):
+    assert get_places(change) == [place]
--- a/packages/baobabring/baobabring/operators/tests/test_command_line.py
+++ b/packages/baobabring/baobabring/operators/tests/test_command_line.py
@@ -76,7 +76,7 @@
     file = tmp_path / "menu.json"
     file.write_text(json.dumps(SERVICE))
     log = FakeEventLog(Clock())
-    log.faults.append(Fault.LOST_AFTER)
+    log.faults.append(Fault.REPLY_LOST)
     async with serving(log) as (reader, address):
         assert await run_command(address, "service", "put", str(file)) == 0
         assert await run_command(address, "target", "drain", "menu", "t1") == 0
--- a/packages/baobabring/baobabring/program/_instance.py
+++ b/packages/baobabring/baobabring/program/_instance.py
@@ -173,7 +173,7 @@
 
     def _update_readiness(self) -> None:
         can_start_attempts = (
-            self.parts.reader.knows_configuration
+            self.parts.reader.has_configuration
             and self.parts.membership.can_start_attempts()
         )
         if can_start_attempts != self._can_start_attempts:
--- a/packages/baobabring/baobabring/program/_state_exchange.py
+++ b/packages/baobabring/baobabring/program/_state_exchange.py
@@ -50,7 +50,7 @@
 
     def _on_progress(self) -> None:
         tracker = self.membership.tracker
-        next_offset = self.reader.fold.next_offset
+        next_offset = self.reader.replica.next_offset
         tracker.record_applied(next_offset)
         if self.reader.confirmed_at_s is not None:
             tracker.record_log_end(next_offset, self.reader.confirmed_at_s)
@@ -72,7 +72,7 @@
             self._request_state(heartbeat.peer_address)
 
     def _is_behind(self, heartbeat: Heartbeat, now_s: float) -> bool:
-        next_offset = self.reader.fold.next_offset
+        next_offset = self.reader.replica.next_offset
         self._highest_offset = max(self._highest_offset, heartbeat.config_offset)
         if self._highest_offset <= next_offset:
             self._behind_since_s = None
@@ -89,7 +89,7 @@
     def _on_request(self, request: StateRequest) -> None:
         reply = StateReply(
             self.membership.info.instance_id,
-            self.reader.fold.snapshot_payload(),
+            self.reader.replica.snapshot_payload(),
             self.cold_start_guard.snapshot_payload(),
         )
         self.link.send(request.reply_address, reply)
--- a/packages/baobabring/baobabring/program/tests/test_state_exchange.py
+++ b/packages/baobabring/baobabring/program/tests/test_state_exchange.py
@@ -51,7 +51,7 @@
         add_heartbeat_listener=listeners.append,
     )
     reader = SimpleNamespace(
-        fold=SimpleNamespace(next_offset=5),
+        replica=SimpleNamespace(next_offset=5),
         add_progress_listener=lambda listener: None,
     )
     balancer = create_balancer("own", "z", BalancingSettings(), Random(1))
@@ -97,7 +97,7 @@
     harness.receive_heartbeat(make_heartbeat("a", 5))
     harness.link.sent.clear()
     harness.receive_heartbeat(make_heartbeat("a", 6))
-    harness.reader.fold.next_offset = 6
+    harness.reader.replica.next_offset = 6
     for _ in range(int(OBSERVED_TIME_S / STEP_S)):
         harness.clock.time_s += STEP_S
         harness.receive_heartbeat(make_heartbeat("a", 6))
--- a/packages/baobabring/baobabring/publication/_publisher.py
+++ b/packages/baobabring/baobabring/publication/_publisher.py
@@ -1,4 +1,4 @@
-"""Publisher of changes of the configuration."""
+"""Publisher of configuration changes."""
 
 import asyncio
 import uuid
@@ -7,9 +7,9 @@
 from baobabring.configuration import (
     Change,
     ChangeRecord,
+    ChangeVerdict,
     Conflict,
     Rejected,
-    Verdict,
     encode_record,
     validate_change,
 )
@@ -23,53 +23,54 @@
 from baobabring.publication._reader import CONFIGURATION_STREAM, ConfigurationReader
 from baobabring.utils import Clock
 
-APPEND_RETRY_MIN_S = 0.05
-LATE_REASON = "the deadline had passed; nothing was changed"
+MIN_APPEND_RETRY_DELAY_S = 0.05
+DEADLINE_PASSED_REASON = "the deadline had passed; nothing was changed"
 REFUSED_REASON = "the log refused the change; it did not take effect"
 UNANSWERED_REASON = "the log did not answer; the change may yet take effect"
-UNREAD_REASON = "the change was not read back in time; it may yet take effect"
+NOT_READ_BACK_REASON = "the change was not read back in time; it may yet take effect"
 GAP_REASON = "this instance lacks part of the configuration; nothing was changed"
 
 
 @dataclass(frozen=True, slots=True)
 class Unconfirmed:
-    """Tell that the outcome of a change was not known by the deadline."""
+    """Report that the outcome of a change was not known by the deadline."""
 
     change_id: str
     reason: str
 
 
-ProposalOutcome = Verdict | Unconfirmed
+ProposalOutcome = ChangeVerdict | Unconfirmed
 
 
-class _Watch:
-    """Catch the verdict on a change as soon as the reader has applied its record.
+class _PendingChange:
+    """Represent a published change whose verdict is awaited.
 
-    The fold forgets old verdicts, so a watch looks after each record.
+    The replica keeps recent verdicts only, so the verdict is looked up after each
+    applied record.
     """
 
     def __init__(self, reader: ConfigurationReader, change_id: str) -> None:
         self.reader = reader
         self.change_id = change_id
-        self.verdict: Verdict | None = None
+        self.verdict: ChangeVerdict | None = None
         self.progress = asyncio.Event()
 
-    def look(self) -> None:
-        """Look for the verdict and wake the publisher."""
+    def check_verdict(self) -> None:
+        """Store the verdict if there is one, and wake the publisher."""
         if self.verdict is None:
-            self.verdict = self.reader.fold.verdict(self.change_id)
+            self.verdict = self.reader.replica.get_verdict(self.change_id)
         self.progress.set()
 
 
 class ConfigurationPublisher:
-    """Append changes to the log and answer by what the fold made of them.
+    """Append changes to the log and return their verdicts.
 
     Parameters
     ----------
     log : EventLog
         The platform's log.
     reader : ConfigurationReader
-        The running reader of the same log, which tells the verdicts.
+        Running reader of the same log; its replica decides on the changes.
     clock : Clock
         Source of the time.
     """
@@ -80,8 +81,8 @@
         self.log = log
         self.reader = reader
         self.clock = clock
-        self._watches: set[_Watch] = set()
-        reader.add_progress_listener(self._look)
+        self._pending_changes: set[_PendingChange] = set()
+        reader.add_progress_listener(self._check_verdicts)
 
     async def propose(
         self,
@@ -90,69 +91,76 @@
         deadline_s: float,
         change_id: str | None = None,
     ) -> ProposalOutcome:
-        """Publish a change and return its verdict once it was read back.
+        """Publish a change and return its verdict once its record was read back.
 
-        With the `change_id` of an earlier try, the change takes effect at most once.
+        With the `change_id` of an earlier call, the change takes effect at most once.
         """
         change_id = change_id or str(uuid.uuid4())
-        verdict = self._early_verdict(base_revision, change, change_id)
+        verdict = self._get_immediate_verdict(base_revision, change, change_id)
         if verdict is not None:
             return verdict
-        if self.reader.fold.needs_snapshot:
+        if self.reader.replica.needs_snapshot:
             return Unconfirmed(change_id, GAP_REASON)
         record = ChangeRecord(change_id, base_revision, change)
-        watch = _Watch(self.reader, change_id)
-        self._watches.add(watch)
+        pending = _PendingChange(self.reader, change_id)
+        self._pending_changes.add(pending)
         try:
-            return await self._publish(record, watch, deadline_s)
+            return await self._publish(record, pending, deadline_s)
         finally:
-            self._watches.discard(watch)
+            self._pending_changes.discard(pending)
 
-    def _early_verdict(
+    def _get_immediate_verdict(
         self, base_revision: int, change: Change, change_id: str
-    ) -> Verdict | None:
-        known = self.reader.fold.verdict(change_id)
+    ) -> ChangeVerdict | None:
+        known = self.reader.replica.get_verdict(change_id)
         if known is not None:
             return known
         configuration = self.reader.configuration
         if base_revision < configuration.revision:
             return Conflict(current_revision=configuration.revision)
         if base_revision > configuration.revision:
-            # Another instance has shown the operator more than is known here.
+            # The operator has seen a newer revision at another instance, so only the
+            # log can decide.
             return None
         findings = validate_change(configuration, change)
         return Rejected(findings=findings) if findings else None
 
     async def _publish(
-        self, record: ChangeRecord, watch: _Watch, deadline_s: float
+        self, record: ChangeRecord, pending: _PendingChange, deadline_s: float
     ) -> ProposalOutcome:
         payload = encode_record(record)
-        reason = LATE_REASON
+        reason = DEADLINE_PASSED_REASON
         while self.clock.now_s() < deadline_s:
             match await self._append(payload, deadline_s):
                 case Appended():
-                    await self._wait(watch, deadline_s)
-                    return watch.verdict or Unconfirmed(record.change_id, UNREAD_REASON)
+                    await self._wait_for_verdict(pending, deadline_s)
+                    return pending.verdict or Unconfirmed(
+                        record.change_id, NOT_READ_BACK_REASON
+                    )
                 case AppendRefused(retry_at_s=retry_at_s):
                     if reason != UNANSWERED_REASON:
                         reason = REFUSED_REASON
-                    await self._pause(retry_at_s, deadline_s)
+                    await self._wait_to_retry(retry_at_s, deadline_s)
                 case AppendUnconfirmed():
-                    # The record may be in the log, so it is looked for there before
-                    # anything is appended again.
+                    # The record may be in the log, so read to the end of the stream
+                    # before appending it again.
                     reason = UNANSWERED_REASON
-                    await self._wait(watch, deadline_s, self.reader.started_reads)
-            verdict = self._settled_verdict(record, watch)
+                    await self._wait_for_verdict(
+                        pending, deadline_s, self.reader.last_started_read
+                    )
+            verdict = self._get_known_verdict(record, pending)
             if verdict is not None:
                 return verdict
         return Unconfirmed(record.change_id, reason)
 
-    def _settled_verdict(self, record: ChangeRecord, watch: _Watch) -> Verdict | None:
-        if watch.verdict is not None:
-            return watch.verdict
+    def _get_known_verdict(
+        self, record: ChangeRecord, pending: _PendingChange
+    ) -> ChangeVerdict | None:
+        if pending.verdict is not None:
+            return pending.verdict
         revision = self.reader.configuration.revision
         if revision > record.base_revision:
-            # Wherever the record may yet appear, the fold will find the conflict.
+            # If the record reaches the log later, its verdict is a conflict as well.
             return Conflict(current_revision=revision)
         return None
 
@@ -163,26 +171,26 @@
         except TimeoutError:
             return AppendUnconfirmed()
 
-    async def _wait(
-        self, watch: _Watch, deadline_s: float, last_read: int | None = None
+    async def _wait_for_verdict(
+        self, pending: _PendingChange, deadline_s: float, last_read: int | None = None
     ) -> None:
-        """Wait for the verdict, or for the end as a read after `last_read` saw it."""
+        """Wait for the verdict, or until a read after `last_read` reached the end."""
         try:
             async with asyncio.timeout(deadline_s - self.clock.now_s()):
-                while watch.verdict is None and not self._reached_end(last_read):
-                    watch.progress.clear()
-                    await watch.progress.wait()
+                while pending.verdict is None and not self._has_read_to_end(last_read):
+                    pending.progress.clear()
+                    await pending.progress.wait()
         except TimeoutError:
             return
 
-    def _reached_end(self, last_read: int | None) -> bool:
-        return last_read is not None and self.reader.confirmed_read > last_read
+    def _has_read_to_end(self, last_read: int | None) -> bool:
+        return last_read is not None and self.reader.last_confirmed_read > last_read
 
-    async def _pause(self, retry_at_s: float, deadline_s: float) -> None:
+    async def _wait_to_retry(self, retry_at_s: float, deadline_s: float) -> None:
         now_s = self.clock.now_s()
-        until_s = min(max(retry_at_s, now_s + APPEND_RETRY_MIN_S), deadline_s)
+        until_s = min(max(retry_at_s, now_s + MIN_APPEND_RETRY_DELAY_S), deadline_s)
         await asyncio.sleep(max(until_s - now_s, 0.0))
 
-    def _look(self) -> None:
-        for watch in self._watches:
-            watch.look()
+    def _check_verdicts(self) -> None:
+        for pending in self._pending_changes:
+            pending.check_verdict()
--- a/packages/baobabring/baobabring/publication/_reader.py
+++ b/packages/baobabring/baobabring/publication/_reader.py
@@ -6,7 +6,7 @@
 
 import logbook
 
-from baobabring.configuration import ConfigurationFold
+from baobabring.configuration import ConfigurationReplica
 from baobabring.model import Configuration
 from baobabring.platform import EventLog, Page, ReadFailed, ReadOutcome
 from baobabring.utils import Clock
@@ -14,32 +14,32 @@
 CONFIGURATION_STREAM = "config"
 READ_WAIT_MS = 1_000
 READ_TIMEOUT_S = 3.0
-READ_RETRY_S = 0.2
-READ_RETRY_MAX_S = 1.0
+MIN_READ_RETRY_DELAY_S = 0.2
+MAX_READ_RETRY_DELAY_S = 1.0
 IDLE_PAUSE_S = 0.02
-SNAPSHOT_CHECK_S = 1.0
+SNAPSHOT_CHECK_INTERVAL_S = 1.0
 SNAPSHOT_TIMEOUT_S = 5.0
-SNAPSHOT_SPREAD_S = 30.0
+MAX_SNAPSHOT_DELAY_S = 30.0
 
-Listener = Callable[[Configuration], None]
+ConfigurationListener = Callable[[Configuration], None]
 
 _logger = logbook.Logger(__name__)
 
 
 class ConfigurationReader:
-    """Follow the configuration stream and tell listeners of new configurations.
+    """Follow the configuration stream and notify listeners of new configurations.
 
     Parameters
     ----------
     log : EventLog
-        The platform's log. Its pages must show the end of the stream as of their
-        read in `next_offset`.
+        The platform's log. The `next_offset` of a page must be the end of the stream
+        at the time of the read.
     clock : Clock
         Source of the time.
     retention_s : float
-        How long the log keeps a record at least.
+        Minimum time for which the log keeps a record.
     rng : Random
-        Spreads retries and snapshots of many instances.
+        Source of random delays, which spread retries and snapshots of many instances.
     """
 
     def __init__(
@@ -49,41 +49,41 @@
         self.clock = clock
         self.retention_s = retention_s
         self.rng = rng
-        self.fold = ConfigurationFold()
+        self.replica = ConfigurationReplica()
         self._confirmed_at_s: float | None = None
-        self._started_reads = 0
-        self._confirmed_read = 0
+        self._last_started_read = 0
+        self._last_confirmed_read = 0
         self._reachable = False
-        self._no_snapshot_before_s = 0.0
-        self._listeners: list[Listener] = []
+        self._snapshot_not_before_s = 0.0
+        self._listeners: list[ConfigurationListener] = []
         self._progress_listeners: list[Callable[[], None]] = []
 
     @property
     def configuration(self) -> Configuration:
-        """Return the newest configuration that is known here."""
-        return self.fold.configuration
+        """Return the newest configuration known to this instance."""
+        return self.replica.configuration
 
     @property
     def confirmed_at_s(self) -> float | None:
-        """Return when the configuration was last known to be the newest."""
+        """Return when the configuration was last confirmed to be the newest."""
         return self._confirmed_at_s
 
     @property
-    def knows_configuration(self) -> bool:
-        """Tell whether anything is known, even if only that nothing was published."""
-        return self._confirmed_at_s is not None or self.fold.next_offset > 0
+    def has_configuration(self) -> bool:
+        """Return whether the configuration is known, even if nothing was published."""
+        return self._confirmed_at_s is not None or self.replica.next_offset > 0
 
     @property
-    def started_reads(self) -> int:
-        """Return the number of the read that was started last."""
-        return self._started_reads
+    def last_started_read(self) -> int:
+        """Return the number of the read that started last."""
+        return self._last_started_read
 
     @property
-    def confirmed_read(self) -> int:
+    def last_confirmed_read(self) -> int:
         """Return the number of the last read that reached the end of the stream."""
-        return self._confirmed_read
+        return self._last_confirmed_read
 
-    def add_listener(self, listener: Listener) -> None:
+    def add_listener(self, listener: ConfigurationListener) -> None:
         """Call `listener` with each new configuration from now on."""
         self._listeners.append(listener)
 
@@ -98,115 +98,119 @@
         """
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._follow())
-            tasks.create_task(self._keep_snapshots())
+            tasks.create_task(self._write_snapshots())
 
     async def read_once(self) -> bool:
         """Read and apply one page; return whether the log could be read."""
-        self._started_reads += 1
-        read_number = self._started_reads
+        self._last_started_read += 1
+        read_number = self._last_started_read
         started_at_s = self.clock.now_s()
         outcome = await self._read()
         if isinstance(outcome, ReadFailed):
-            self._note_unreachable(outcome)
+            self._record_read_failure(outcome)
             return False
-        self._note_reachable()
+        self._record_read_success()
         self._apply_page(outcome)
-        # A page that ends below what is known here is older than the state.
-        at_end = self.fold.read_offset == outcome.next_offset
-        if at_end and not self.fold.needs_snapshot:
-            self._confirmed_read = read_number
+        # A page that ends before the read offset is older than the replica.
+        at_end = self.replica.read_offset == outcome.next_offset
+        if at_end and not self.replica.needs_snapshot:
+            self._last_confirmed_read = read_number
             self._confirm(started_at_s)
         return True
 
     def load_from_peer(self, payload: bytes) -> bool:
-        """Take a peer's state if it is newer; return whether it was."""
+        """Load a peer's snapshot if it is newer; return whether it was loaded."""
         before = self.configuration
-        loaded = self.fold.load(payload)
+        loaded = self.replica.load(payload)
         if loaded:
-            self._tell_progress()
-            self._tell_configuration(before)
+            self._notify_progress()
+            self._notify_listeners(before)
         return loaded
 
     async def write_snapshot_if_due(self) -> bool:
-        """Append a snapshot if the log needs one; return whether it was tried."""
+        """Append a snapshot if one is due; return whether an append was attempted."""
         now_s = self.clock.now_s()
-        if not self._reachable or now_s < self._no_snapshot_before_s:
+        if not self._reachable or now_s < self._snapshot_not_before_s:
             return False
-        if not self.fold.snapshot_due(now_s, self.retention_s, self.rng):
+        if not self.replica.is_snapshot_due(now_s, self.retention_s, self.rng):
             return False
         self._postpone_snapshot()
         await self.log.append(
             CONFIGURATION_STREAM,
-            self.fold.snapshot_payload(),
+            self.replica.snapshot_payload(),
             now_s + SNAPSHOT_TIMEOUT_S,
         )
         return True
 
     async def _follow(self) -> None:
-        retry_s = READ_RETRY_S
+        retry_delay_s = MIN_READ_RETRY_DELAY_S
         while True:
-            offset = self.fold.read_offset
+            offset = self.replica.read_offset
             if not await self.read_once():
-                await asyncio.sleep(retry_s * self.rng.uniform(0.5, 1.0))
-                retry_s = min(2 * retry_s, READ_RETRY_MAX_S)
+                await asyncio.sleep(retry_delay_s * self.rng.uniform(0.5, 1.0))
+                retry_delay_s = min(2 * retry_delay_s, MAX_READ_RETRY_DELAY_S)
                 continue
-            retry_s = READ_RETRY_S
-            if self.fold.read_offset == offset:
+            retry_delay_s = MIN_READ_RETRY_DELAY_S
+            if self.replica.read_offset == offset:
                 await asyncio.sleep(IDLE_PAUSE_S)
 
-    async def _keep_snapshots(self) -> None:
+    async def _write_snapshots(self) -> None:
         while True:
-            await asyncio.sleep(SNAPSHOT_CHECK_S)
+            await asyncio.sleep(SNAPSHOT_CHECK_INTERVAL_S)
             await self.write_snapshot_if_due()
 
     async def _read(self) -> ReadOutcome:
-        # A connection may go silent for good, so no read is waited for without end.
+        # A stalled connection may never report an error, so every read has a timeout.
         try:
             async with asyncio.timeout(READ_TIMEOUT_S):
                 return await self.log.read(
-                    CONFIGURATION_STREAM, self.fold.read_offset, READ_WAIT_MS
+                    CONFIGURATION_STREAM, self.replica.read_offset, READ_WAIT_MS
                 )
         except TimeoutError:
-            return ReadFailed(problem=f"no answer within {READ_TIMEOUT_S} s")
+            return ReadFailed(problem=f"no response within {READ_TIMEOUT_S} s")
 
     def _apply_page(self, page: Page) -> None:
         before = self.configuration
-        self.fold.open_page(page)
+        self.replica.detect_gap(page)
         for record in page.records:
-            self.fold.apply(record)
-            self._tell_progress()
-        self._tell_configuration(before)
+            self.replica.apply(record)
+            self._notify_progress()
+        self._notify_listeners(before)
 
     def _confirm(self, confirmed_at_s: float) -> None:
         if self._confirmed_at_s is None or confirmed_at_s > self._confirmed_at_s:
             self._confirmed_at_s = confirmed_at_s
-        self._tell_progress()
+        self._notify_progress()
 
-    def _tell_configuration(self, before: Configuration) -> None:
+    def _notify_listeners(self, before: Configuration) -> None:
         if self.configuration.revision == before.revision:
             return
-        _logger.info("configuration is at revision {}", self.configuration.revision)
+        _logger.info(
+            "configuration changed to revision {}", self.configuration.revision
+        )
         for listener in self._listeners:
             listener(self.configuration)
 
-    def _tell_progress(self) -> None:
+    def _notify_progress(self) -> None:
         for listener in self._progress_listeners:
             listener()
 
-    def _note_reachable(self) -> None:
+    def _record_read_success(self) -> None:
         if self._reachable:
             return
         self._reachable = True
-        # After an outage all instances may find a snapshot due at once.
+        # After an outage a snapshot may be due at all instances at once.
         self._postpone_snapshot()
-        _logger.info("the configuration stream can be read")
+        _logger.info("configuration stream became readable")
 
-    def _note_unreachable(self, failure: ReadFailed) -> None:
+    def _record_read_failure(self, failure: ReadFailed) -> None:
         if self._reachable:
-            _logger.warning("cannot read the configuration: {}", failure.problem)
+            _logger.warning(
+                "configuration stream became unreadable: {}", failure.problem
+            )
         self._reachable = False
 
     def _postpone_snapshot(self) -> None:
-        spread_s = min(SNAPSHOT_SPREAD_S, self.retention_s / 8)
-        delay_s = self.rng.uniform(0.0, spread_s)
-        self._no_snapshot_before_s = self.clock.now_s() + delay_s
+        max_delay_s = min(MAX_SNAPSHOT_DELAY_S, self.retention_s / 8)
+        delay_s = self.rng.uniform(0.0, max_delay_s)
+        self._snapshot_not_before_s = self.clock.now_s() + delay_s
--- a/packages/baobabring/baobabring/publication/tests/fake_log.py
+++ b/packages/baobabring/baobabring/publication/tests/fake_log.py
@@ -1,4 +1,4 @@
-"""Log in memory with faults on request."""
+"""In-memory event log with faults on request."""
 
 import asyncio
 from collections import deque
@@ -19,7 +19,7 @@
 
 
 class ManualClock(Clock):
-    """Show the time that a test set."""
+    """Return the time that a test has set."""
 
     def __init__(self, time_s: float = 1_000.0) -> None:
         self.time_s = time_s
@@ -29,40 +29,44 @@
 
 
 class Fault(Enum):
-    """Fault of one append."""
+    """Fault of one append.
+
+    With REPLY_LOST the record is stored at once, with STORED_LATE only when the test
+    calls `flush_delayed_appends`; the caller gets no reply in either case.
+    """
 
     REFUSED = auto()
-    LOST_BEFORE = auto()
-    LOST_AFTER = auto()
-    LOST_THEN_LATE = auto()
+    REQUEST_LOST = auto()
+    REPLY_LOST = auto()
+    STORED_LATE = auto()
     SILENT = auto()
 
 
 class FakeEventLog(EventLog):
-    """Keep one stream; `late` holds appends that have yet to take effect."""
+    """Store one stream; `delayed_appends` are not yet part of it."""
 
-    def __init__(self, clock: Clock, page_records: int = 1_000) -> None:
+    def __init__(self, clock: Clock, max_page_records: int = 1_000) -> None:
         self.clock = clock
-        self.page_records = page_records
+        self.max_page_records = max_page_records
         self.records: list[LogRecord] = []
         self.earliest_offset = 0
         self.faults: deque[Fault] = deque()
-        self.late: list[bytes] = []
+        self.delayed_appends: list[bytes] = []
         self.append_count = 0
         self.readable = True
         self.silent = False
 
-    def put(self, payload: bytes) -> int:
+    def append_payload(self, payload: bytes) -> int:
         offset = len(self.records)
         self.records.append(LogRecord(offset, self.clock.now_s(), payload))
         return offset
 
-    def deliver_late(self) -> None:
-        for payload in self.late:
-            self.put(payload)
-        self.late.clear()
+    def flush_delayed_appends(self) -> None:
+        for payload in self.delayed_appends:
+            self.append_payload(payload)
+        self.delayed_appends.clear()
 
-    def expire(self, earliest_offset: int) -> None:
+    def expire_before(self, earliest_offset: int) -> None:
         self.earliest_offset = earliest_offset
 
     def expire_older_than(self, time_s: float) -> None:
@@ -77,17 +81,17 @@
         match self.faults.popleft() if self.faults else None:
             case Fault.REFUSED:
                 return AppendRefused(retry_at_s=self.clock.now_s())
-            case Fault.LOST_BEFORE:
+            case Fault.REQUEST_LOST:
                 return AppendUnconfirmed()
-            case Fault.LOST_AFTER:
-                self.put(payload)
+            case Fault.REPLY_LOST:
+                self.append_payload(payload)
                 return AppendUnconfirmed()
-            case Fault.LOST_THEN_LATE:
-                self.late.append(payload)
+            case Fault.STORED_LATE:
+                self.delayed_appends.append(payload)
                 return AppendUnconfirmed()
             case Fault.SILENT:
                 await asyncio.Event().wait()
-        return Appended(self.put(payload))
+        return Appended(self.append_payload(payload))
 
     async def read(self, stream: str, from_offset: int, wait_ms: int) -> ReadOutcome:
         await asyncio.sleep(0)
@@ -96,5 +100,5 @@
         if not self.readable:
             return ReadFailed("down")
         start = max(from_offset, self.earliest_offset)
-        records = tuple(self.records[start : start + self.page_records])
+        records = tuple(self.records[start : start + self.max_page_records])
         return Page(self.earliest_offset, len(self.records), records)
--- a/packages/baobabring/baobabring/publication/tests/test_histories.py
+++ b/packages/baobabring/baobabring/publication/tests/test_histories.py
@@ -1,4 +1,4 @@
-"""Checks of whole histories of several instances under faults."""
+"""Property test of several instances that publish and read under faults."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -10,7 +10,7 @@
 
 from baobabring.configuration import (
     Accepted,
-    ConfigurationFold,
+    ConfigurationReplica,
     DeleteService,
     PutService,
     SetZoneState,
@@ -27,9 +27,9 @@
 INSTANCES = 3
 RETENTION_S = 3_600.0
 TIMEOUT_S = 60.0
-TURNS_PER_STEP = 6
-MAX_FINAL_ROUNDS = 100
-FAULTS = (Fault.REFUSED, Fault.LOST_BEFORE, Fault.LOST_AFTER, Fault.LOST_THEN_LATE)
+LOOP_ITERATIONS_PER_STEP = 6
+MAX_RECOVERY_ROUNDS = 100
+FAULTS = (Fault.REFUSED, Fault.REQUEST_LOST, Fault.REPLY_LOST, Fault.STORED_LATE)
 
 TARGET = Target("t1", "10.0.0.1:80", "sapporo", 2)
 CHANGES = (
@@ -40,29 +40,29 @@
     SetZoneState("sapporo", ZoneState.IN),
 )
 
-NUMBERS = st.integers(0, INSTANCES - 1)
+INSTANCE_INDEXES = st.integers(0, INSTANCES - 1)
 STEPS = st.lists(
     st.one_of(
-        st.tuples(st.just("propose"), NUMBERS, st.sampled_from(CHANGES)),
-        st.tuples(st.just("propose"), NUMBERS, st.sampled_from(CHANGES)),
-        st.tuples(st.just("ahead"), NUMBERS, st.integers(1, 3)),
-        st.tuples(st.just("read"), NUMBERS, st.none()),
-        st.tuples(st.just("fault"), NUMBERS, st.sampled_from(FAULTS)),
-        st.tuples(st.just("deliver"), NUMBERS, st.none()),
-        st.tuples(st.just("outage"), NUMBERS, st.booleans()),
-        st.tuples(st.just("snapshot"), NUMBERS, st.none()),
-        st.tuples(st.just("expire"), NUMBERS, st.none()),
-        st.tuples(st.just("restart"), NUMBERS, st.none()),
-        st.tuples(st.just("peer"), NUMBERS, NUMBERS),
-        st.tuples(st.just("resend"), NUMBERS, st.integers(0, 9)),
+        st.tuples(st.just("propose"), INSTANCE_INDEXES, st.sampled_from(CHANGES)),
+        st.tuples(st.just("propose"), INSTANCE_INDEXES, st.sampled_from(CHANGES)),
+        st.tuples(st.just("ahead"), INSTANCE_INDEXES, st.integers(1, 3)),
+        st.tuples(st.just("read"), INSTANCE_INDEXES, st.none()),
+        st.tuples(st.just("fault"), INSTANCE_INDEXES, st.sampled_from(FAULTS)),
+        st.tuples(st.just("deliver"), INSTANCE_INDEXES, st.none()),
+        st.tuples(st.just("outage"), INSTANCE_INDEXES, st.booleans()),
+        st.tuples(st.just("snapshot"), INSTANCE_INDEXES, st.none()),
+        st.tuples(st.just("expire"), INSTANCE_INDEXES, st.none()),
+        st.tuples(st.just("restart"), INSTANCE_INDEXES, st.none()),
+        st.tuples(st.just("peer"), INSTANCE_INDEXES, INSTANCE_INDEXES),
+        st.tuples(st.just("resend"), INSTANCE_INDEXES, st.integers(0, 9)),
     ),
     max_size=40,
 )
 
 
 @dataclass(eq=False)
-class Instance:
-    """Hold one instance and the revisions that its listeners heard of."""
+class InstanceHarness:
+    """Represent one instance and the revisions reported to its listener."""
 
     reader: ConfigurationReader
     publisher: ConfigurationPublisher
@@ -71,28 +71,28 @@
 
 @dataclass
 class Proposal:
-    """Hold one proposal of an operator and its running task."""
+    """Represent one proposal of an operator and its running task."""
 
     change_id: str
     base_revision: int
     change: object
-    instance: Instance
+    instance: InstanceHarness
     task: asyncio.Task
 
 
-class History:
-    """Carry out steps and keep what must hold at their end."""
+class FleetSimulation:
+    """Run the steps of a history and check the outcomes at its end."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
         self.log = FakeEventLog(self.clock)
-        self.instances = [self.start(seed) for seed in range(INSTANCES)]
+        self.instances = [self.create_instance(seed) for seed in range(INSTANCES)]
         self.proposals: list[Proposal] = []
 
-    def start(self, seed: int) -> Instance:
+    def create_instance(self, seed: int) -> InstanceHarness:
         reader = ConfigurationReader(self.log, self.clock, RETENTION_S, Random(seed))
         publisher = ConfigurationPublisher(self.log, reader, self.clock)
-        instance = Instance(reader, publisher)
+        instance = InstanceHarness(reader, publisher)
         reader.add_listener(lambda c: instance.revisions.append(c.revision))
         return instance
 
@@ -106,7 +106,7 @@
             Proposal(change_id, base_revision, change, instance, task)
         )
 
-    async def step(self, kind: str, number: int, detail) -> None:
+    async def run_step(self, kind: str, number: int, detail) -> None:
         instance = self.instances[number]
         match kind:
             case "propose":
@@ -124,76 +124,80 @@
             case "fault":
                 self.log.faults.append(detail)
             case "deliver":
-                self.log.deliver_late()
+                self.log.flush_delayed_appends()
             case "outage":
                 self.log.readable = detail
-            case "snapshot" if not instance.reader.fold.needs_snapshot:
-                self.log.put(instance.reader.fold.snapshot_payload())
+            case "snapshot" if not instance.reader.replica.needs_snapshot:
+                self.log.append_payload(instance.reader.replica.snapshot_payload())
             case "expire":
-                self.log.expire((self.log.earliest_offset + len(self.log.records)) // 2)
+                self.log.expire_before(
+                    (self.log.earliest_offset + len(self.log.records)) // 2
+                )
             case "restart":
-                self.instances[number] = self.start(number)
+                self.instances[number] = self.create_instance(number)
             case "peer":
-                payload = self.instances[detail].reader.fold.snapshot_payload()
+                payload = self.instances[detail].reader.replica.snapshot_payload()
                 instance.reader.load_from_peer(payload)
-        for _ in range(TURNS_PER_STEP):
+        for _ in range(LOOP_ITERATIONS_PER_STEP):
             await asyncio.sleep(0)
 
-    async def finish(self) -> None:
+    async def recover(self) -> None:
         self.log.readable = True
         self.log.faults.clear()
-        self.log.deliver_late()
-        for _ in range(MAX_FINAL_ROUNDS):
-            # Stands for an instance that never missed a record.
-            self.log.put(self.judge().snapshot_payload())
+        self.log.flush_delayed_appends()
+        for _ in range(MAX_RECOVERY_ROUNDS):
+            # Simulates an instance that has read every record and writes a snapshot.
+            self.log.append_payload(self.build_reference_replica().snapshot_payload())
             for instance in self.instances:
                 await instance.reader.read_once()
-            for _ in range(TURNS_PER_STEP):
+            for _ in range(LOOP_ITERATIONS_PER_STEP):
                 await asyncio.sleep(0)
-            if all(proposal.task.done() for proposal in self.live_proposals()):
+            if all(
+                proposal.task.done() for proposal in self.get_answerable_proposals()
+            ):
                 return
-        raise AssertionError("a proposal has no outcome")
+        raise AssertionError("a proposal has no outcome after the last round")
 
-    def live_proposals(self) -> list[Proposal]:
-        # Those of an instance that was replaced have nobody to answer them.
+    def get_answerable_proposals(self) -> list[Proposal]:
+        # A proposal at an instance that was restarted may never end.
         return [
             proposal
             for proposal in self.proposals
             if proposal.task.done() or proposal.instance in self.instances
         ]
 
-    def judge(self) -> ConfigurationFold:
-        fold = ConfigurationFold()
+    def build_reference_replica(self) -> ConfigurationReplica:
+        replica = ConfigurationReplica()
         for record in self.log.records:
-            fold.apply(record)
-        return fold
+            replica.apply(record)
+        return replica
 
     def check(self) -> None:
-        judge = self.judge()
-        for proposal in self.live_proposals():
+        reference = self.build_reference_replica()
+        for proposal in self.get_answerable_proposals():
             outcome = proposal.task.result()
-            verdict = judge.verdict(proposal.change_id)
+            verdict = reference.get_verdict(proposal.change_id)
             if isinstance(outcome, Accepted):
                 assert verdict == outcome
             elif not isinstance(outcome, Unconfirmed):
                 assert not isinstance(verdict, Accepted)
         for instance in self.instances:
-            assert instance.reader.configuration == judge.configuration
+            assert instance.reader.configuration == reference.configuration
             assert instance.revisions == sorted(set(instance.revisions))
 
 
-async def run_history(steps: list) -> None:
-    history = History()
+async def run_simulation(steps: list) -> None:
+    simulation = FleetSimulation()
     for kind, number, detail in steps:
-        await history.step(kind, number, detail)
-    await history.finish()
-    history.check()
-    for proposal in history.proposals:
+        await simulation.run_step(kind, number, detail)
+    await simulation.recover()
+    simulation.check()
+    for proposal in simulation.proposals:
         proposal.task.cancel()
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(STEPS)
-def test_answers_and_configurations_agree_with_the_log(steps):
-    with patch.object(_publisher, "APPEND_RETRY_MIN_S", 0.0):
-        asyncio.run(run_history(steps))
+def test_outcomes_and_configurations_agree_with_the_log(steps):
+    with patch.object(_publisher, "MIN_APPEND_RETRY_DELAY_S", 0.0):
+        asyncio.run(run_simulation(steps))
--- a/packages/baobabring/baobabring/publication/tests/test_publisher.py
+++ b/packages/baobabring/baobabring/publication/tests/test_publisher.py
@@ -13,7 +13,7 @@
     Rejected,
     encode_record,
 )
-from baobabring.configuration._fold import MAX_RECENT_VERDICTS
+from baobabring.configuration._replica import MAX_RECENT_VERDICTS
 from baobabring.model import Service
 from baobabring.publication import (
     ConfigurationPublisher,
@@ -25,8 +25,8 @@
 from baobabring.utils import Clock
 
 RETENTION_S = 3_600.0
-LONG_S = 60.0
-SHORT_S = 0.1
+LONG_TIMEOUT_S = 60.0
+SHORT_TIMEOUT_S = 0.1
 
 CLOCK = Clock()
 CHANGE = PutService(Service("menu", "/menu", (), ()))
@@ -34,8 +34,8 @@
 
 
 @asynccontextmanager
-async def publishing(log: FakeEventLog):
-    """Run an instance's reader and give its publisher."""
+async def run_publisher(log: FakeEventLog):
+    """Run the reader of an instance and yield its publisher."""
     reader = ConfigurationReader(log, CLOCK, RETENTION_S, Random(1))
     task = asyncio.create_task(reader.run())
     try:
@@ -45,13 +45,13 @@
         await asyncio.gather(task, return_exceptions=True)
 
 
-def deadline_s(timeout_s: float = LONG_S) -> float:
+def deadline_s(timeout_s: float = LONG_TIMEOUT_S) -> float:
     return CLOCK.now_s() + timeout_s
 
 
 async def test_a_change_is_accepted_after_it_was_read_back():
     log = FakeEventLog(CLOCK)
-    async with publishing(log) as publisher:
+    async with run_publisher(log) as publisher:
         outcome = await publisher.propose(0, CHANGE, deadline_s())
         assert outcome == Accepted(revision=1)
         assert publisher.reader.configuration.revision == 1
@@ -60,8 +60,8 @@
 async def test_a_change_is_not_accepted_before_it_was_read_back():
     log = FakeEventLog(CLOCK)
     log.readable = False
-    async with publishing(log) as publisher:
-        outcome = await publisher.propose(0, CHANGE, deadline_s(SHORT_S), "c1")
+    async with run_publisher(log) as publisher:
+        outcome = await publisher.propose(0, CHANGE, deadline_s(SHORT_TIMEOUT_S), "c1")
         assert isinstance(outcome, Unconfirmed)
         assert outcome.change_id == "c1"
         log.readable = True
@@ -71,7 +71,7 @@
 
 async def test_an_invalid_change_is_rejected_without_an_append():
     log = FakeEventLog(CLOCK)
-    async with publishing(log) as publisher:
+    async with run_publisher(log) as publisher:
         outcome = await publisher.propose(0, DeleteService("menu"), deadline_s())
         assert isinstance(outcome, Rejected)
         assert log.append_count == 0
@@ -79,16 +79,16 @@
 
 async def test_a_change_on_an_old_revision_conflicts_without_an_append():
     log = FakeEventLog(CLOCK)
-    async with publishing(log) as publisher:
+    async with run_publisher(log) as publisher:
         await publisher.propose(0, CHANGE, deadline_s())
         outcome = await publisher.propose(0, OTHER_CHANGE, deadline_s())
         assert outcome == Conflict(current_revision=1)
         assert log.append_count == 1
 
 
-async def test_of_racing_operators_at_two_instances_one_wins():
+async def test_one_of_several_racing_changes_at_two_instances_is_accepted():
     log = FakeEventLog(CLOCK)
-    async with publishing(log) as first, publishing(log) as second:
+    async with run_publisher(log) as first, run_publisher(log) as second:
         outcomes = await asyncio.gather(
             first.propose(0, CHANGE, deadline_s()),
             second.propose(0, OTHER_CHANGE, deadline_s()),
@@ -101,19 +101,19 @@
     assert len(losers) == 3
 
 
-async def test_a_lost_answer_is_resolved_by_reading_back():
+async def test_a_lost_reply_is_resolved_by_reading_back():
     log = FakeEventLog(CLOCK)
-    log.faults.append(Fault.LOST_AFTER)
-    async with publishing(log) as publisher:
+    log.faults.append(Fault.REPLY_LOST)
+    async with run_publisher(log) as publisher:
         outcome = await publisher.propose(0, CHANGE, deadline_s())
     assert outcome == Accepted(revision=1)
     assert log.append_count == 1
 
 
-async def test_a_lost_append_is_made_again():
+async def test_a_lost_append_is_retried():
     log = FakeEventLog(CLOCK)
-    log.faults.append(Fault.LOST_BEFORE)
-    async with publishing(log) as publisher:
+    log.faults.append(Fault.REQUEST_LOST)
+    async with run_publisher(log) as publisher:
         outcome = await publisher.propose(0, CHANGE, deadline_s())
     assert outcome == Accepted(revision=1)
     assert log.append_count == 2
@@ -121,69 +121,71 @@
 
 async def test_an_append_that_takes_effect_late_is_applied_once():
     log = FakeEventLog(CLOCK)
-    log.faults.append(Fault.LOST_THEN_LATE)
-    async with publishing(log) as publisher:
+    log.faults.append(Fault.STORED_LATE)
+    async with run_publisher(log) as publisher:
         assert await publisher.propose(0, CHANGE, deadline_s(), "c1") == Accepted(1)
-        log.deliver_late()
+        log.flush_delayed_appends()
         change = DeleteService("menu")
         assert await publisher.propose(1, change, deadline_s()) == Accepted(3)
-        assert publisher.reader.fold.verdict("c1") == Accepted(1)
+        assert publisher.reader.replica.get_verdict("c1") == Accepted(1)
 
 
-async def test_a_refused_append_is_made_again():
+async def test_a_refused_append_is_retried():
     log = FakeEventLog(CLOCK)
     log.faults.extend([Fault.REFUSED, Fault.REFUSED])
-    async with publishing(log) as publisher:
+    async with run_publisher(log) as publisher:
         assert await publisher.propose(0, CHANGE, deadline_s()) == Accepted(1)
 
 
 async def test_a_silent_log_leaves_the_change_unconfirmed():
     log = FakeEventLog(CLOCK)
     log.faults.append(Fault.SILENT)
-    async with publishing(log) as publisher:
-        outcome = await publisher.propose(0, CHANGE, deadline_s(SHORT_S))
+    async with run_publisher(log) as publisher:
+        outcome = await publisher.propose(0, CHANGE, deadline_s(SHORT_TIMEOUT_S))
     assert isinstance(outcome, Unconfirmed)
     assert "may yet take effect" in outcome.reason
 
 
 async def test_a_change_sent_again_through_another_instance_is_applied_once():
     log = FakeEventLog(CLOCK)
-    async with publishing(log) as first, publishing(log) as second:
+    async with run_publisher(log) as first, run_publisher(log) as second:
         assert await first.propose(0, CHANGE, deadline_s(), "c1") == Accepted(1)
         assert await second.propose(0, CHANGE, deadline_s(), "c1") == Accepted(1)
 
 
-async def test_a_change_on_a_revision_not_yet_read_here_is_left_to_the_log():
+async def test_a_change_on_a_revision_not_yet_read_is_decided_by_the_log():
     log = FakeEventLog(CLOCK)
-    async with publishing(log) as first:
+    async with run_publisher(log) as first:
         await first.propose(0, CHANGE, deadline_s())
         reader = ConfigurationReader(log, CLOCK, RETENTION_S, Random(2))
-        behind = ConfigurationPublisher(log, reader, CLOCK)
-        proposal = asyncio.create_task(behind.propose(1, OTHER_CHANGE, deadline_s()))
+        lagging_publisher = ConfigurationPublisher(log, reader, CLOCK)
+        proposal = asyncio.create_task(
+            lagging_publisher.propose(1, OTHER_CHANGE, deadline_s())
+        )
         while log.append_count < 2:
             await asyncio.sleep(0)
         await reader.read_once()
         assert await proposal == Accepted(2)
 
 
-async def test_a_lost_append_conflicts_if_another_change_won_meanwhile():
+async def test_a_lost_append_conflicts_if_another_change_is_accepted_meanwhile():
     log = FakeEventLog(CLOCK)
-    log.faults.append(Fault.LOST_THEN_LATE)
+    log.faults.append(Fault.STORED_LATE)
     log.readable = False
-    async with publishing(log) as publisher:
+    async with run_publisher(log) as publisher:
         proposal = asyncio.create_task(publisher.propose(0, CHANGE, deadline_s()))
-        while not log.late:
+        while not log.delayed_appends:
             await asyncio.sleep(0)
-        log.put(encode_record(ChangeRecord("other", 0, OTHER_CHANGE)))
+        log.append_payload(encode_record(ChangeRecord("other", 0, OTHER_CHANGE)))
         log.readable = True
         assert await proposal == Conflict(current_revision=1)
         assert log.append_count == 1
 
 
-async def test_an_outage_between_append_and_reading_back_is_waited_out():
+async def test_a_change_is_accepted_after_an_outage_between_append_and_reading_back():
     log = FakeEventLog(CLOCK)
     log.readable = False
-    async with publishing(log) as publisher:
+    async with run_publisher(log) as publisher:
         proposal = asyncio.create_task(publisher.propose(0, CHANGE, deadline_s()))
         while not log.records:
             await asyncio.sleep(0)
@@ -191,12 +193,12 @@
         assert await proposal == Accepted(revision=1)
 
 
-async def test_an_instance_that_misses_records_changes_nothing():
+async def test_an_instance_that_misses_records_appends_nothing():
     log = FakeEventLog(CLOCK)
-    log.put(b"")
-    log.expire(1)
-    async with publishing(log) as publisher:
-        while not publisher.reader.fold.needs_snapshot:
+    log.append_payload(b"")
+    log.expire_before(1)
+    async with run_publisher(log) as publisher:
+        while not publisher.reader.replica.needs_snapshot:
             await asyncio.sleep(0)
         outcome = await publisher.propose(0, CHANGE, deadline_s(), "c1")
     assert outcome == Unconfirmed("c1", GAP_REASON)
@@ -205,13 +207,15 @@
 
 async def test_the_verdict_is_found_among_many_later_changes():
     log = FakeEventLog(CLOCK)
-    log.faults.append(Fault.LOST_AFTER)
+    log.faults.append(Fault.REPLY_LOST)
     log.readable = False
-    async with publishing(log) as publisher:
+    async with run_publisher(log) as publisher:
         proposal = asyncio.create_task(publisher.propose(0, CHANGE, deadline_s()))
         while not log.records:
             await asyncio.sleep(0)
         for number in range(MAX_RECENT_VERDICTS + 1):
-            log.put(encode_record(ChangeRecord(f"later-{number}", 0, OTHER_CHANGE)))
+            log.append_payload(
+                encode_record(ChangeRecord(f"later-{number}", 0, OTHER_CHANGE))
+            )
         log.readable = True
         assert await proposal == Accepted(revision=1)
--- a/packages/baobabring/baobabring/publication/tests/test_reader.py
+++ b/packages/baobabring/baobabring/publication/tests/test_reader.py
@@ -15,12 +15,12 @@
 from baobabring.publication.tests.fake_log import FakeEventLog, Fault, ManualClock
 
 RETENTION_S = 3_600.0
-LATE_S = RETENTION_S * 0.6
+SNAPSHOT_DUE_AFTER_S = RETENTION_S * 0.6
 
 
 def put_service(log: FakeEventLog, service_id: str, base_revision: int) -> None:
     change = PutService(Service(service_id, f"/{service_id}", (), ()))
-    log.put(encode_record(ChangeRecord(service_id, base_revision, change)))
+    log.append_payload(encode_record(ChangeRecord(service_id, base_revision, change)))
 
 
 def make_reader(log: FakeEventLog, seed: int = 1) -> ConfigurationReader:
@@ -32,7 +32,7 @@
     return FakeEventLog(ManualClock())
 
 
-async def test_listeners_hear_of_each_new_configuration_once(log):
+async def test_listeners_are_notified_once_of_each_new_configuration(log):
     reader = make_reader(log)
     revisions = []
     reader.add_listener(lambda configuration: revisions.append(configuration.revision))
@@ -52,7 +52,7 @@
 
 
 async def test_a_read_that_stops_before_the_end_confirms_nothing(log):
-    log.page_records = 1
+    log.max_page_records = 1
     put_service(log, "menu", 0)
     put_service(log, "fees", 1)
     reader = make_reader(log)
@@ -66,7 +66,7 @@
     put_service(log, "menu", 0)
     peer, reader = make_reader(log), make_reader(log)
     await peer.read_once()
-    reader.load_from_peer(peer.fold.snapshot_payload())
+    reader.load_from_peer(peer.replica.snapshot_payload())
     log.records.clear()
     await reader.read_once()
     assert reader.confirmed_at_s is None
@@ -90,14 +90,14 @@
     assert not await make_reader(log).read_once()
 
 
-async def test_an_instance_started_in_an_outage_takes_the_state_of_a_peer(log):
+async def test_an_instance_started_in_an_outage_loads_the_state_of_a_peer(log):
     put_service(log, "menu", 0)
     peer = make_reader(log)
     await peer.read_once()
     log.readable = False
     starting = make_reader(log)
     assert not await starting.read_once()
-    assert starting.load_from_peer(peer.fold.snapshot_payload())
+    assert starting.load_from_peer(peer.replica.snapshot_payload())
     assert starting.configuration == peer.configuration
     log.readable = True
     put_service(log, "fees", 1)
@@ -111,7 +111,7 @@
     await peer.read_once()
     put_service(log, "fees", 1)
     await reader.read_once()
-    assert not reader.load_from_peer(peer.fold.snapshot_payload())
+    assert not reader.load_from_peer(peer.replica.snapshot_payload())
     assert reader.configuration.revision == 2
 
 
@@ -120,22 +120,22 @@
     readers = [make_reader(log, seed) for seed in range(5)]
     for reader in readers:
         await reader.read_once()
-    log.clock.time_s += LATE_S
+    log.clock.time_s += SNAPSHOT_DUE_AFTER_S
     for reader in readers:
         await reader.read_once()
         await reader.write_snapshot_if_due()
     assert log.append_count == 1
 
 
-async def test_a_snapshot_that_failed_is_not_written_again_at_once(log):
+async def test_a_failed_snapshot_is_not_retried_at_once(log):
     put_service(log, "menu", 0)
     reader = make_reader(log)
     await reader.read_once()
-    log.clock.time_s += LATE_S
-    log.faults.append(Fault.LOST_BEFORE)
+    log.clock.time_s += SNAPSHOT_DUE_AFTER_S
+    log.faults.append(Fault.REQUEST_LOST)
     assert await reader.write_snapshot_if_due()
     assert not await reader.write_snapshot_if_due()
-    log.clock.time_s += _reader.SNAPSHOT_SPREAD_S
+    log.clock.time_s += _reader.MAX_SNAPSHOT_DELAY_S
     assert await reader.write_snapshot_if_due()
 
 
@@ -145,16 +145,16 @@
     await reader.read_once()
     log.readable = False
     await reader.read_once()
-    log.clock.time_s += LATE_S
+    log.clock.time_s += SNAPSHOT_DUE_AFTER_S
     assert not await reader.write_snapshot_if_due()
     log.readable = True
     await reader.read_once()
     assert not await reader.write_snapshot_if_due()
-    log.clock.time_s += _reader.SNAPSHOT_SPREAD_S
+    log.clock.time_s += _reader.MAX_SNAPSHOT_DELAY_S
     assert await reader.write_snapshot_if_due()
 
 
-async def test_the_configuration_outlives_the_retention_many_times(log):
+async def test_the_configuration_survives_many_retention_periods(log):
     put_service(log, "menu", 0)
     put_service(log, "fees", 1)
     readers = [make_reader(log, seed) for seed in range(3)]
@@ -176,10 +176,10 @@
     cut_off, follower = make_reader(log), make_reader(log, 2)
     await cut_off.read_once()
     change = DeleteService("menu")
-    log.put(encode_record(ChangeRecord("delete", 1, change)))
+    log.append_payload(encode_record(ChangeRecord("delete", 1, change)))
     await follower.read_once()
-    log.put(follower.fold.snapshot_payload())
-    log.expire(2)
+    log.append_payload(follower.replica.snapshot_payload())
+    log.expire_before(2)
     await cut_off.read_once()
     assert cut_off.configuration.services == {}
     assert cut_off.configuration.revision == 2
@@ -191,15 +191,15 @@
     reader = make_reader(log)
     await reader.read_once()
     put_service(log, "fees", 1)
-    log.expire(2)
+    log.expire_before(2)
     log.clock.time_s += 60
     await reader.read_once()
-    assert reader.fold.needs_snapshot
+    assert reader.replica.needs_snapshot
     assert reader.configuration.revision == 1
     assert reader.confirmed_at_s == 1_000.0
 
 
-async def test_the_configuration_outlives_an_outage_beyond_the_retention(log):
+async def test_the_configuration_survives_an_outage_longer_than_the_retention(log):
     put_service(log, "menu", 0)
     survivor = make_reader(log)
     await survivor.read_once()
@@ -210,35 +210,35 @@
     log.readable = True
     newcomer = make_reader(log, 2)
     await newcomer.read_once()
-    assert newcomer.fold.needs_snapshot
+    assert newcomer.replica.needs_snapshot
     await survivor.read_once()
-    log.clock.time_s += _reader.SNAPSHOT_SPREAD_S
+    log.clock.time_s += _reader.MAX_SNAPSHOT_DELAY_S
     assert await survivor.write_snapshot_if_due()
     await newcomer.read_once()
     assert newcomer.configuration == survivor.configuration
 
 
-async def test_nothing_is_known_while_the_log_can_not_be_read(log):
+async def test_there_is_no_configuration_while_the_log_is_unreadable(log):
     reader = make_reader(log)
     log.readable = False
     await reader.read_once()
-    assert not reader.knows_configuration
+    assert not reader.has_configuration
 
 
-async def test_a_gap_without_a_snapshot_is_not_knowing(log):
+async def test_there_is_no_configuration_in_a_gap_without_a_snapshot(log):
     put_service(log, "menu", 0)
-    log.expire(1)
+    log.expire_before(1)
     reader = make_reader(log)
     await reader.read_once()
-    assert not reader.knows_configuration
+    assert not reader.has_configuration
 
 
-async def test_a_configuration_is_known_by_an_empty_log_or_by_a_peer(log):
+async def test_there_is_a_configuration_after_an_empty_log_or_from_a_peer(log):
     reader = make_reader(log)
     await reader.read_once()
-    assert reader.knows_configuration
+    assert reader.has_configuration
     put_service(log, "menu", 0)
     await reader.read_once()
     starting = make_reader(log)
-    starting.load_from_peer(reader.fold.snapshot_payload())
-    assert starting.knows_configuration
+    starting.load_from_peer(reader.replica.snapshot_payload())
+    assert starting.has_configuration
