--- a/examples/demo.py
+++ b/examples/demo.py
@@ -12,9 +12,9 @@
 import aiohttp
 from baobabstandins.checker import (
     Finding,
-    check_every_call_stated,
-    check_not_run_is_true,
-    check_own_whole_answers,
+    check_every_call_has_outcome,
+    check_not_run_outcomes,
+    check_response_integrity,
     check_runs_at_most_once,
 )
 from baobabstandins.fleet import (
@@ -193,9 +193,9 @@
     entries = await read_journals(fleet)
     return [
         *check_runs_at_most_once(entries),
-        *check_not_run_is_true(history, entries),
-        *check_own_whole_answers(history),
-        *check_every_call_stated(history),
+        *check_not_run_outcomes(history, entries),
+        *check_response_integrity(history),
+        *check_every_call_has_outcome(history),
         *_find_missing(history, entries),
     ]
 
--- a/packages/baobabstandins/baobabstandins/checker/_findings.py
+++ b/packages/baobabstandins/baobabstandins/checker/_findings.py
@@ -1,15 +1,15 @@
-"""Findings of checks."""
+"""Violations found by the checks."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """Tell which promise was broken, where, and how."""
+    """Represent the violation of an invariant, where and how it occurred."""
 
-    promise: str
+    invariant: str
     place: str
     problem: str
 
     def __str__(self) -> str:
-        return f"{self.promise}: {self.place}: {self.problem}"
+        return f"{self.invariant}: {self.place}: {self.problem}"
--- a/packages/baobabstandins/baobabstandins/checker/_targets.py
+++ b/packages/baobabstandins/baobabstandins/checker/_targets.py
@@ -1,4 +1,4 @@
-"""Check what ran at targets and what measuring them cost."""
+"""Check the calls that ran at targets and the cost of probing them."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetRecord:
-    """Hold what one target recorded."""
+    """Represent the journal and counters of one target."""
 
     target_id: str
     zone: str
@@ -17,10 +17,13 @@
     counters: Counters
 
 
-def check_no_new_work(
+def check_no_new_calls(
     record: TargetRecord, left_at_s: float, grace_s: float, back_at_s: float
 ) -> list[Finding]:
-    """Find calls that started at a target while it should have had no new work."""
+    """Find calls that a target started while it was removed from service.
+
+    Calls that start within `grace_s` of the removal are tolerated.
+    """
     late = [
         entry
         for entry in record.entries
@@ -39,23 +42,23 @@
 def check_cold_limit(
     record: TargetRecord, turned_cold_at_s: float = 0.0, grace_s: float = 0.0
 ) -> list[Finding]:
-    """Find calls beyond what a cold target bears.
+    """Find calls that exceeded the concurrency limit of a cold target.
 
-    A target that turns cold unannounced may get such calls for `grace_s`.
+    They are tolerated for `grace_s` after a target turned cold without notice.
     """
-    excused_until_s = turned_cold_at_s + grace_s
+    tolerated_until_s = turned_cold_at_s + grace_s
     times = record.counters.cold_violations_at_s
-    late = [at_s for at_s in times if not turned_cold_at_s <= at_s <= excused_until_s]
+    late = [at_s for at_s in times if not turned_cold_at_s <= at_s <= tolerated_until_s]
     if not late:
         return []
-    problem = f"{len(late)} calls beyond the limit of a cold target"
+    problem = f"{len(late)} calls exceeded the limit of a cold target"
     return [Finding("cold limit", record.target_id, problem)]
 
 
 def check_probe_budget(
     records: list[TargetRecord], duration_s: float, budget_ms_per_s: float
 ) -> list[Finding]:
-    """Find that probes took more time of all targets than the fleet may spend."""
+    """Report when probes used more time of all targets than the fleet's budget."""
     budget_ms = duration_s * budget_ms_per_s
     spent_ms = sum(record.counters.probe_busy_ms for record in records)
     if spent_ms <= budget_ms:
--- a/packages/baobabstandins/baobabstandins/checker/tests/test_configuration.py
+++ b/packages/baobabstandins/baobabstandins/checker/tests/test_configuration.py
@@ -1,9 +1,9 @@
 import pytest
 
 from baobabstandins.checker import (
-    check_configuration_in_force,
+    check_configuration_applied,
     check_configuration_never_reverts,
-    check_one_change_accepted,
+    check_no_conflicting_changes,
 )
 from baobabstandins.fleet import ChangeAccepted, ConfigurationSeen
 
@@ -15,15 +15,15 @@
 @pytest.mark.parametrize(
     ("base_revision", "revision", "count"), [(3, 4, 2), (3, 5, 1), (2, 4, 1), (4, 5, 0)]
 )
-def test_two_changes_accepted_on_one_base_or_as_one_revision_are_found(
+def test_two_changes_with_the_same_base_or_revision_are_found(
     base_revision, revision, count
 ):
     first = ChangeAccepted(3, 4, "a", 1.0)
     second = ChangeAccepted(base_revision, revision, "b", 1.0)
-    assert len(check_one_change_accepted([first, second])) == count
+    assert len(check_no_conflicting_changes([first, second])) == count
 
 
-def test_instance_that_goes_back_is_found():
+def test_instance_that_returns_an_older_revision_is_found():
     (finding,) = check_configuration_never_reverts([seen(4, 1.0), seen(3, 2.0)])
     assert finding.problem == "revision 4 went back to 3"
 
@@ -38,7 +38,7 @@
     assert len(check_configuration_never_reverts(views)) == 1
 
 
-def test_old_revision_after_the_grace_is_found():
+def test_old_revision_after_the_grace_period_is_found():
     accepted = [ChangeAccepted(3, 4, "a", 10.0)]
-    assert check_configuration_in_force([seen(3, 12.0)], accepted, 3.0) == []
-    assert len(check_configuration_in_force([seen(3, 14.0)], accepted, 3.0)) == 1
+    assert check_configuration_applied([seen(3, 12.0)], accepted, 3.0) == []
+    assert len(check_configuration_applied([seen(3, 14.0)], accepted, 3.0)) == 1
--- a/packages/baobabstandins/baobabstandins/checker/tests/test_targets.py
+++ b/packages/baobabstandins/baobabstandins/checker/tests/test_targets.py
@@ -3,7 +3,7 @@
 from baobabstandins.checker import (
     TargetRecord,
     check_cold_limit,
-    check_no_new_work,
+    check_no_new_calls,
     check_probe_budget,
 )
 from baobabstandins.target import Counters, JournalEntry
@@ -16,8 +16,8 @@
     return TargetRecord("orders-1", "sapporo", 2, entries, Counters(**counters))
 
 
-def test_work_after_the_grace_is_found():
-    findings = check_no_new_work(record(11.0, 13.5, 20.0), 10.0, 3.0, back_at_s=19.0)
+def test_calls_after_the_grace_period_are_found():
+    findings = check_no_new_calls(record(11.0, 13.5, 20.0), 10.0, 3.0, back_at_s=19.0)
     assert [finding.problem for finding in findings] == ["r started 3.500 s after"]
 
 
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize(("at_s", "count"), [(12.0, 0), (13.5, 1), (9.0, 1)])
-def test_cold_violation_is_excused_right_after_turning_cold(at_s, count):
+def test_cold_violation_is_tolerated_right_after_turning_cold(at_s, count):
     findings = check_cold_limit(record(cold_violations_at_s=[at_s]), 10.0, 3.0)
     assert len(findings) == count
 
--- a/packages/baobabstandins/baobabstandins/fleet/__init__.py
+++ b/packages/baobabstandins/baobabstandins/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Harness that runs a fleet of processes and keeps histories of its callers."""
+"""Test harness that runs a fleet of processes and records the calls to it."""
 
 from baobabstandins.fleet._caller import Call, HistoryCaller, make_call
 from baobabstandins.fleet._changes import (
@@ -11,14 +11,14 @@
 from baobabstandins.fleet._children import ChildError, ChildProcess, start_python
 from baobabstandins.fleet._fleet import Fleet
 from baobabstandins.fleet._history import (
+    CallerDisconnected,
     CallEvent,
     ChangeAccepted,
     ConfigurationSeen,
     Invoked,
-    Left,
     Lost,
+    ReportedOutcome,
     Returned,
-    StatedOutcome,
 )
 from baobabstandins.fleet._members import (
     InstanceMember,
@@ -42,14 +42,14 @@
     "HistoryCaller",
     "InstanceMember",
     "Invoked",
-    "Left",
+    "CallerDisconnected",
     "Lost",
     "Operator",
     "PlatformMember",
     "PlatformOptions",
     "PublishError",
     "Returned",
-    "StatedOutcome",
+    "ReportedOutcome",
     "TargetMember",
     "TargetOptions",
     "drain_target",
--- a/packages/baobabstandins/baobabstandins/fleet/_caller.py
+++ b/packages/baobabstandins/baobabstandins/fleet/_caller.py
@@ -1,4 +1,4 @@
-"""Caller that repeats calls with the same key and keeps a history."""
+"""Caller that repeats calls with the same idempotency key and records a history."""
 
 import asyncio
 import hashlib
@@ -11,27 +11,27 @@
 import uuid_utils
 
 from baobabstandins.fleet._history import (
+    CallerDisconnected,
     CallEvent,
     Invoked,
-    Left,
     Lost,
+    ReportedOutcome,
     Returned,
-    StatedOutcome,
 )
 from baobabstandins.fleet._members import InstanceMember
-from baobabstandins.target import check_answer
+from baobabstandins.target import check_response
 
-ANSWER_SLACK_S = 2.0
-REPEAT_WAIT_S = 0.5
-LEAVE_AFTER_S = 0.03
-ROTATION_POLL_S = 0.05
+RESPONSE_MARGIN_S = 2.0
+REPEAT_DELAY_S = 0.5
+DISCONNECT_AFTER_S = 0.03
+ROTATION_POLL_INTERVAL_S = 0.05
 
 Rotation = Callable[[], list[InstanceMember]]
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """Describe one call; the key is empty if it may run more than once."""
+    """Represent one call; `key` is empty if the call is sent without one."""
 
     call_id: str
     method: str
@@ -50,7 +50,7 @@
     tenant: str = "default",
     deadline_ms: int = 3000,
 ) -> Call:
-    """Return a call that differs from every other one in id, key, path and body."""
+    """Return a call with a unique id and path; POST calls also get a key and a body."""
     call_id = str(uuid_utils.uuid7())
     return Call(
         call_id=call_id,
@@ -64,14 +64,14 @@
 
 
 class HistoryCaller:
-    """Send calls and keep what was sent and what came back.
+    """Send calls and record each attempt and its result in `history`.
 
     Parameters
     ----------
     rotation : callable
-        Returns the instances to choose from.
+        Returns the instances that may be called.
     seed : int
-        Seed of the choice of instances.
+        Seed for choosing instances.
     """
 
     def __init__(self, rotation: Rotation, seed: int) -> None:
@@ -88,75 +88,84 @@
     async def __aexit__(self, *exception: object) -> None:
         await self._session.close()
 
-    async def call(self, call: Call, repeats: int, *, leaves: bool = False) -> None:
-        """Send a call, up to `repeats` times more until it is completed.
+    async def call(
+        self, call: Call, repeats: int, *, disconnects: bool = False
+    ) -> None:
+        """Send a call and repeat it up to `repeats` times until it is completed.
 
-        If `leaves`, the caller gives up the first try after a moment.
+        If `disconnects`, the caller closes the first attempt's connection early.
         """
-        used: set[str] = set()
+        used_ids: set[str] = set()
         for attempt in range(repeats + 1):
-            instance = await self._pick(used)
-            used.add(instance.instance_id)
-            left = leaves and attempt == 0
-            event = await self._try(call, attempt, instance, left)
+            instance = await self._choose_instance(used_ids)
+            used_ids.add(instance.instance_id)
+            disconnect = disconnects and attempt == 0
+            event = await self._send_attempt(call, attempt, instance, disconnect)
             self.history.append(event)
             if _is_completed(event):
                 return
-            if not isinstance(event, Left):
-                await asyncio.sleep(REPEAT_WAIT_S)
+            if not isinstance(event, CallerDisconnected):
+                await asyncio.sleep(REPEAT_DELAY_S)
 
     async def call_twice_at_once(self, call: Call, repeats: int) -> None:
-        """Send a call through two instances at the same time."""
-        first = await self._pick(set())
-        second = await self._pick({first.instance_id})
+        """Send a call through two instances at once, then repeat it until completed."""
+        first = await self._choose_instance(set())
+        second = await self._choose_instance({first.instance_id})
         events = await asyncio.gather(
-            self._try(call, 0, first, False), self._try(call, 1, second, False)
+            self._send_attempt(call, 0, first, False),
+            self._send_attempt(call, 1, second, False),
         )
         self.history.extend(events)
         for attempt in range(2, repeats + 1):
             if any(_is_completed(event) for event in events):
                 return
-            await asyncio.sleep(REPEAT_WAIT_S)
-            instance = await self._pick(set())
-            events = [await self._try(call, attempt, instance, False)]
+            await asyncio.sleep(REPEAT_DELAY_S)
+            instance = await self._choose_instance(set())
+            events = [await self._send_attempt(call, attempt, instance, False)]
             self.history.extend(events)
 
-    async def _pick(self, used: set[str]) -> InstanceMember:
+    async def _choose_instance(self, used_ids: set[str]) -> InstanceMember:
         while not (members := self.rotation()):
-            await asyncio.sleep(ROTATION_POLL_S)
-        unused = [member for member in members if member.instance_id not in used]
+            await asyncio.sleep(ROTATION_POLL_INTERVAL_S)
+        unused = [member for member in members if member.instance_id not in used_ids]
         return self._random.choice(unused or members)
 
-    async def _try(
-        self, call: Call, attempt: int, instance: InstanceMember, leaves: bool
+    async def _send_attempt(
+        self, call: Call, attempt: int, instance: InstanceMember, disconnects: bool
     ) -> CallEvent:
-        where = (call.call_id, attempt, instance.instance_id)
+        attempt_fields = (call.call_id, attempt, instance.instance_id)
         self.history.append(
-            Invoked(*where, call.method, call.path, call.key, time.time())
+            Invoked(*attempt_fields, call.method, call.path, call.key, time.time())
         )
         url = f"http://{instance.caller_address}{call.path}"
-        total_s = LEAVE_AFTER_S if leaves else call.deadline_ms / 1000 + ANSWER_SLACK_S
+        timeout_s = (
+            DISCONNECT_AFTER_S
+            if disconnects
+            else call.deadline_ms / 1000 + RESPONSE_MARGIN_S
+        )
         try:
             async with self._session.request(
                 call.method,
                 url,
                 data=call.body or None,
-                headers=_headers(call),
-                timeout=aiohttp.ClientTimeout(total=total_s),
-                middlewares=(_SendOnce(),),
+                headers=_build_request_headers(call),
+                timeout=aiohttp.ClientTimeout(total=timeout_s),
+                middlewares=(_SendOnceMiddleware(),),
             ) as response:
-                answer = await response.read()
+                body = await response.read()
         except TimeoutError:
-            if leaves:
-                return Left(*where, time.time())
-            return Lost(*where, f"no answer in {total_s} s", time.time())
+            if disconnects:
+                return CallerDisconnected(*attempt_fields, time.time())
+            return Lost(
+                *attempt_fields, f"no response within {timeout_s} s", time.time()
+            )
         except aiohttp.ClientError as error:
-            return Lost(*where, repr(error), time.time())
-        return _returned(call, attempt, instance, response, answer)
+            return Lost(*attempt_fields, repr(error), time.time())
+        return _create_returned(call, attempt, instance, response, body)
 
 
-class _SendOnce:
-    """Keep the library from sending an idempotent request again by itself."""
+class _SendOnceMiddleware:
+    """Prevent aiohttp from resending an idempotent request on its own."""
 
     def __init__(self) -> None:
         self._sent = False
@@ -165,12 +174,14 @@
         self, request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
     ) -> aiohttp.ClientResponse:
         if self._sent:
-            raise aiohttp.ServerDisconnectedError("no answer to the first send")
+            raise aiohttp.ServerDisconnectedError(
+                "no response; the request is not sent again"
+            )
         self._sent = True
         return await handler(request)
 
 
-def _headers(call: Call) -> dict[str, str]:
+def _build_request_headers(call: Call) -> dict[str, str]:
     headers = {
         "Baobab-Deadline-Ms": str(call.deadline_ms),
         "Baobab-Tenant": call.tenant,
@@ -180,17 +191,17 @@
     return headers
 
 
-def _returned(
+def _create_returned(
     call: Call,
     attempt: int,
     instance: InstanceMember,
     response: aiohttp.ClientResponse,
-    answer: bytes,
+    body: bytes,
 ) -> Returned:
     outcome = response.headers.get("Baobab-Outcome", "")
     problem = None
-    if outcome == StatedOutcome.COMPLETED:
-        problem = check_answer(answer, call.method, call.path, call.body)
+    if outcome == ReportedOutcome.COMPLETED:
+        problem = check_response(body, call.method, call.path, call.body)
     return Returned(
         call_id=call.call_id,
         attempt=attempt,
@@ -199,11 +210,11 @@
         outcome=outcome,
         reason=response.headers.get("Baobab-Reason", ""),
         request_id=response.headers.get("Baobab-Request-Id", ""),
-        answer_digest=hashlib.sha256(answer).hexdigest(),
+        response_digest=hashlib.sha256(body).hexdigest(),
         problem=problem,
         at_s=time.time(),
     )
 
 
 def _is_completed(event: CallEvent) -> bool:
-    return isinstance(event, Returned) and event.outcome == StatedOutcome.COMPLETED
+    return isinstance(event, Returned) and event.outcome == ReportedOutcome.COMPLETED
--- a/packages/baobabstandins/baobabstandins/fleet/_changes.py
+++ b/packages/baobabstandins/baobabstandins/fleet/_changes.py
@@ -1,11 +1,11 @@
-"""Make the changes that operators publish in scenarios."""
+"""Create the configuration changes that operators publish in scenarios."""
 
 from baobabapi import operators_pb2
 
 from baobabstandins.fleet._members import TargetMember
 from baobabstandins.fleet._operator import Change
 
-DEADLINE_LIMIT_MS = 10_000
+MAX_DEADLINE_MS = 10_000
 
 KEY_RULES = {
     "none": operators_pb2.KEY_RULE_NONE,
@@ -27,7 +27,7 @@
         method="*",
         path_pattern=f"{prefix}/*",
         key_rule=KEY_RULES[key_rule],
-        deadline_limit_ms=DEADLINE_LIMIT_MS,
+        deadline_limit_ms=MAX_DEADLINE_MS,
         request_class=service_id,
         priority=1,
     )
@@ -35,7 +35,7 @@
         service_id=service_id,
         path_prefix=prefix,
         rules=[rule],
-        targets=[_target(member) for member in targets],
+        targets=[_create_target(member) for member in targets],
         cold_limit=cold_limit,
     )
     request = operators_pb2.PutServiceRequest(service=service)
@@ -43,7 +43,7 @@
 
 
 def set_zone_state(zone: str, state: str) -> Change:
-    """Return the change that takes a zone out or in."""
+    """Return the change that takes a zone out of service or back in."""
     request = operators_pb2.SetZoneStateRequest(zone=zone, state=ZONE_STATES[state])
     return Change(f"zone {zone} {state}", "SetZoneState", request)
 
@@ -51,7 +51,7 @@
 def put_target(service_id: str, member: TargetMember) -> Change:
     """Return the change that adds a target to a service."""
     request = operators_pb2.PutTargetRequest(
-        service_id=service_id, target=_target(member)
+        service_id=service_id, target=_create_target(member)
     )
     return Change(f"put target {member.target_id}", "PutTarget", request)
 
@@ -74,7 +74,7 @@
     return Change(f"drain target {target_id}", "SetTargetState", request)
 
 
-def _target(member: TargetMember) -> operators_pb2.Target:
+def _create_target(member: TargetMember) -> operators_pb2.Target:
     return operators_pb2.Target(
         target_id=member.target_id,
         address=member.address,
--- a/packages/baobabstandins/baobabstandins/fleet/_children.py
+++ b/packages/baobabstandins/baobabstandins/fleet/_children.py
@@ -1,4 +1,4 @@
-"""Start programs as child processes and end them by their process id."""
+"""Start programs as child processes and stop them."""
 
 import asyncio
 import contextlib
@@ -6,23 +6,23 @@
 import sys
 from pathlib import Path
 
-LINE_TIMEOUT_S = 20.0
-END_TIMEOUT_S = 10.0
+OUTPUT_LINE_TIMEOUT_S = 20.0
+TERMINATION_TIMEOUT_S = 10.0
 
 
 class ChildError(Exception):
-    """Tell that a child process ended or stayed mute when it should not have."""
+    """Report that a child process ended, wrote no output or did not become ready."""
 
 
 class ChildProcess:
-    """Own one child process.
+    """Control one child process.
 
     Parameters
     ----------
     process : asyncio.subprocess.Process
         The running process.
     log_path : Path
-        Where its standard error goes.
+        File that receives its standard error.
     """
 
     def __init__(self, process: asyncio.subprocess.Process, log_path: Path) -> None:
@@ -30,45 +30,45 @@
         self.log_path = log_path
 
     @property
-    def running(self) -> bool:
-        """Tell whether the process has not ended."""
+    def is_running(self) -> bool:
+        """Return whether the process is still running."""
         return self.process.returncode is None
 
     async def read_line(self) -> str:
         """Return the next line of its standard output."""
         try:
             line = await asyncio.wait_for(
-                self.process.stdout.readline(), LINE_TIMEOUT_S
+                self.process.stdout.readline(), OUTPUT_LINE_TIMEOUT_S
             )
         except TimeoutError:
             line = b""
         if not line:
-            raise ChildError(f"no line of output; log: {self.log_text()}")
+            raise ChildError(f"no line on standard output; log: {self.read_log()}")
         return line.decode().rstrip("\n")
 
     def send(self, number: signal.Signals) -> None:
         """Send a signal, unless the process has ended."""
-        if self.running:
+        if self.is_running:
             self.process.send_signal(number)
 
-    async def wait_end(self) -> int:
-        """Wait for the end of the process and return its exit code."""
+    async def wait_for_exit(self) -> int:
+        """Wait until the process ends and return its exit code."""
         return await self.process.wait()
 
     async def stop(self) -> None:
-        """End the process, by force if it does not obey."""
+        """Terminate the process; kill it after `TERMINATION_TIMEOUT_S`."""
         self.send(signal.SIGCONT)
         self.send(signal.SIGTERM)
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self.process.wait(), END_TIMEOUT_S)
+            await asyncio.wait_for(self.process.wait(), TERMINATION_TIMEOUT_S)
         await self.kill()
 
     async def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait until it has ended."""
         self.send(signal.SIGKILL)
         await self.process.wait()
 
-    def log_text(self) -> str:
+    def read_log(self) -> str:
         """Return what the process wrote to its standard error."""
         return self.log_path.read_text(errors="replace")
 
@@ -76,7 +76,7 @@
 async def start_python(
     module: str, arguments: list[str], log_path: Path
 ) -> ChildProcess:
-    """Start `python -m module` with its standard error in a file."""
+    """Start `python -m module` with its standard error appended to a file."""
     with log_path.open("ab") as log:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
--- a/packages/baobabstandins/baobabstandins/fleet/_fleet.py
+++ b/packages/baobabstandins/baobabstandins/fleet/_fleet.py
@@ -1,4 +1,4 @@
-"""Start, disturb and stop a platform stand-in, targets and instances."""
+"""Start, stop and inject faults into a platform stand-in, targets and instances."""
 
 import asyncio
 import signal
@@ -21,22 +21,22 @@
 from baobabstandins.target import Counters, JournalEntry
 
 HOST = "127.0.0.1"
-READY_TIMEOUT_S = 20.0
-READY_POLL_S = 0.05
-WATCH_POLL_S = 0.1
+STARTUP_TIMEOUT_S = 20.0
+STARTUP_POLL_INTERVAL_S = 0.05
+READINESS_POLL_INTERVAL_S = 0.1
 REQUEST_TIMEOUT_S = 5.0
-READY_REQUEST = aiohttp.ClientTimeout(total=0.5)
+READY_REQUEST_TIMEOUT = aiohttp.ClientTimeout(total=0.5)
 
 
 class Fleet:
-    """Own the processes of one test run.
+    """Manage the processes of one test run.
 
     Parameters
     ----------
     directory : Path
-        Where settings and logs go.
+        Directory for settings files and logs.
     extra_settings : dict of dict
-        Sections that every instance gets besides its addresses.
+        Settings of every instance, by section, that extend or override its own.
     """
 
     def __init__(
@@ -49,25 +49,27 @@
         self.instances: list[InstanceMember] = []
         self._children: list[ChildProcess] = []
         self._session: aiohttp.ClientSession | None = None
-        self._watch: asyncio.Task[None] | None = None
+        self._readiness_task: asyncio.Task[None] | None = None
 
     async def __aenter__(self) -> "Fleet":
         connector = aiohttp.TCPConnector(force_close=True)
         timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
         self._session = aiohttp.ClientSession(connector=connector, timeout=timeout)
-        self._watch = asyncio.create_task(self._watch_readiness())
+        self._readiness_task = asyncio.create_task(self._poll_readiness())
         return self
 
     async def __aexit__(self, *exception: object) -> None:
-        if self._watch is not None:
-            self._watch.cancel()
+        if self._readiness_task is not None:
+            self._readiness_task.cancel()
         await self._session.close()
         await asyncio.gather(*(child.kill() for child in self._children))
 
     async def start_platform(self, options: PlatformOptions) -> PlatformMember:
         """Start the platform stand-in."""
         arguments = ["--port=0", *options.arguments()]
-        child = await self._start("baobabstandins.platform", arguments, "platform")
+        child = await self._start_process(
+            "baobabstandins.platform", arguments, "platform"
+        )
         _, address = (await child.read_line()).split()
         self.platform = PlatformMember(address, child)
         return self.platform
@@ -75,14 +77,17 @@
     async def start_targets(
         self, prefix: str, count: int, zone: str, options: TargetOptions
     ) -> list[TargetMember]:
-        """Start targets `prefix-1`, `prefix-2`, ... of a zone in one process."""
+        """Start targets `prefix-1`, `prefix-2`, ... of a zone in one process.
+
+        Numbers continue after earlier targets with the same prefix.
+        """
         first = 1 + sum(name.startswith(f"{prefix}-") for name in self.targets)
         specs = [
             f"{prefix}-{number}:0:{options.slots}"
             for number in range(first, first + count)
         ]
         arguments = ["--spec=" + ",".join(specs), *options.arguments()]
-        child = await self._start(
+        child = await self._start_process(
             "baobabstandins.target", arguments, f"{prefix}-{first}"
         )
         started = []
@@ -105,39 +110,47 @@
         await asyncio.gather(*(self._wait_ready(member) for member in members))
 
     def kill(self, member: InstanceMember) -> None:
-        """End an instance at once."""
+        """Send SIGKILL to an instance."""
         member.disturbed = True
         member.killed = True
         member.child.send(signal.SIGKILL)
 
     def terminate(self, member: InstanceMember) -> None:
-        """Tell an instance to shut down; it stays in rotation until not ready."""
+        """Send SIGTERM to an instance; it stays in rotation until it is not ready."""
         member.child.send(signal.SIGTERM)
 
     def pause(self, member: InstanceMember) -> None:
-        """Stop an instance without ending it."""
+        """Suspend an instance with SIGSTOP."""
         member.disturbed = True
         member.child.send(signal.SIGSTOP)
 
     def resume(self, member: InstanceMember) -> None:
-        """Let a paused instance go on."""
+        """Resume a paused instance."""
         member.child.send(signal.SIGCONT)
 
     def rotation(self) -> list[InstanceMember]:
-        """Return the instances to which the platform's balancer sends callers."""
+        """Return the instances to which the platform's balancer would send calls."""
         return [member for member in self.instances if member.in_rotation]
 
     async def is_ready(self, member: InstanceMember) -> bool:
-        """Tell whether an instance answers that it is ready."""
+        """Return whether an instance reports that it is ready."""
         url = f"http://{member.caller_address}/readyz"
         try:
-            async with self._session.get(url, timeout=READY_REQUEST) as response:
+            async with self._session.get(
+                url, timeout=READY_REQUEST_TIMEOUT
+            ) as response:
                 return response.status == 200
         except (aiohttp.ClientError, TimeoutError):
             return False
 
     async def put_faults(self, address: str, faults: dict[str, object]) -> None:
-        """Change faults of a stand-in."""
+        """Update the faults of the stand-in at an address.
+
+        Raises
+        ------
+        ValueError
+            If the stand-in rejects them.
+        """
         url = f"http://{address}/-/faults"
         async with self._session.put(url, json=faults) as response:
             if response.status != 200:
@@ -153,14 +166,14 @@
         body = await self._get(f"http://{target.address}/-/counters")
         return msgspec.json.decode(body, type=Counters)
 
-    async def _watch_readiness(self) -> None:
-        """Keep the rotation as the platform's balancer does, by polling."""
+    async def _poll_readiness(self) -> None:
+        """Update the rotation by polling readiness, as the platform's balancer does."""
         while True:
-            await asyncio.gather(*(self._watch_one(m) for m in self.instances))
-            await asyncio.sleep(WATCH_POLL_S)
+            await asyncio.gather(*(self._update_rotation(m) for m in self.instances))
+            await asyncio.sleep(READINESS_POLL_INTERVAL_S)
 
-    async def _watch_one(self, member: InstanceMember) -> None:
-        if member.ready_at_s and member.child.running:
+    async def _update_rotation(self, member: InstanceMember) -> None:
+        if member.ready_at_s and member.child.is_running:
             member.in_rotation = await self.is_ready(member)
         else:
             member.in_rotation = False
@@ -169,7 +182,7 @@
         async with self._session.get(url) as response:
             return await response.read()
 
-    async def _start(
+    async def _start_process(
         self, module: str, arguments: list[str], name: str
     ) -> ChildProcess:
         log_path = self.directory / f"{name}.log"
@@ -188,8 +201,8 @@
             "operators": {"address": operator},
             "platform": {"url": f"http://{self.platform.address}"},
         }
-        write_settings(path, _merged(sections, self.extra_settings))
-        child = await self._start(
+        write_settings(path, _merge_sections(sections, self.extra_settings))
+        child = await self._start_process(
             "baobabring.program", ["--settings", str(path)], instance_id
         )
         member = InstanceMember(instance_id, zone, caller, peer, operator, child)
@@ -198,17 +211,19 @@
         return member
 
     async def _wait_ready(self, member: InstanceMember) -> None:
-        wait_until = time.monotonic() + READY_TIMEOUT_S
+        deadline_s = time.monotonic() + STARTUP_TIMEOUT_S
         while not await self.is_ready(member):
-            if not member.child.running or time.monotonic() > wait_until:
+            if not member.child.is_running or time.monotonic() > deadline_s:
                 raise ChildError(
-                    f"{member.instance_id} is not ready; log: {member.child.log_text()}"
+                    f"{member.instance_id} is not ready; log: {member.child.read_log()}"
                 )
-            await asyncio.sleep(READY_POLL_S)
+            await asyncio.sleep(STARTUP_POLL_INTERVAL_S)
         member.ready_at_s = time.time()
         member.in_rotation = True
 
 
-def _merged(first: SettingsSections, second: SettingsSections) -> SettingsSections:
+def _merge_sections(
+    first: SettingsSections, second: SettingsSections
+) -> SettingsSections:
     names = first.keys() | second.keys()
     return {name: first.get(name, {}) | second.get(name, {}) for name in names}
--- a/packages/baobabstandins/baobabstandins/fleet/_history.py
+++ b/packages/baobabstandins/baobabstandins/fleet/_history.py
@@ -1,11 +1,11 @@
-"""Typed history of what callers and operators did and saw."""
+"""Events in the history of callers and operators."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
-class StatedOutcome(StrEnum):
-    """Outcome that an instance stated to a caller."""
+class ReportedOutcome(StrEnum):
+    """Represent the outcome that an instance reported to a caller."""
 
     COMPLETED = "completed"
     NOT_RUN = "not-run"
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Invoked:
-    """Tell that a caller sent one try of a call."""
+    """Report that a caller sent an attempt of a call."""
 
     call_id: str
     attempt: int
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Returned:
-    """Tell that an answer came; `problem` says what is wrong with its body."""
+    """Report a complete response; `problem` describes an error in its body."""
 
     call_id: str
     attempt: int
@@ -36,14 +36,14 @@
     outcome: str
     reason: str
     request_id: str
-    answer_digest: str
+    response_digest: str
     problem: str | None
     at_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """Tell that no whole answer came."""
+    """Report that no complete response arrived."""
 
     call_id: str
     attempt: int
@@ -53,8 +53,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
-    """Tell that the caller gave up on a try of its own accord."""
+class CallerDisconnected:
+    """Report that the caller closed the connection before a response arrived."""
 
     call_id: str
     attempt: int
@@ -62,12 +62,12 @@
     at_s: float
 
 
-CallEvent = Invoked | Returned | Lost | Left
+CallEvent = Invoked | Returned | Lost | CallerDisconnected
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeAccepted:
-    """Tell that a change of the configuration was accepted."""
+    """Report that a change of the configuration was accepted."""
 
     base_revision: int
     revision: int
@@ -77,9 +77,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationSeen:
-    """Tell which configuration an instance showed; `asked_at_s` is before the call."""
+    """Report the configuration that an instance returned.
+
+    `requested_at_s` is the time before the request was sent.
+    """
 
     instance_id: str
     revision: int
     digest: str
-    asked_at_s: float
+    requested_at_s: float
--- a/packages/baobabstandins/baobabstandins/fleet/_members.py
+++ b/packages/baobabstandins/baobabstandins/fleet/_members.py
@@ -1,4 +1,4 @@
-"""Members of a fleet, each with its process and its addresses."""
+"""Members of a fleet, with their processes, addresses and options."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class PlatformMember:
-    """Describe the platform stand-in."""
+    """Represent the platform stand-in."""
 
     address: str
     child: ChildProcess
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class TargetMember:
-    """Describe one target stand-in; several may share a process."""
+    """Represent one target stand-in; several may share a process."""
 
     target_id: str
     address: str
@@ -26,10 +26,10 @@
 
 @dataclass(slots=True)
 class InstanceMember:
-    """Describe one instance.
+    """Represent one instance.
 
-    `disturbed` tells that it was killed, paused or cut off, so that a call may
-    have lost its connection there.
+    `disturbed` is set once the instance was killed or paused, since calls may
+    then have lost their connections to it.
     """
 
     instance_id: str
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetOptions:
-    """Hold the flags of target stand-ins that differ from their defaults."""
+    """Represent the flags with which target stand-ins are started."""
 
     slots: int = 2
     service_ms: float = 20.0
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformOptions:
-    """Hold the flags of the platform stand-in that differ from its defaults."""
+    """Represent the flags with which the platform stand-in is started."""
 
     list_lag_ms: float = 500.0
     list_expiry_ms: float = 5000.0
--- a/packages/baobabstandins/baobabstandins/fleet/_operator.py
+++ b/packages/baobabstandins/baobabstandins/fleet/_operator.py
@@ -1,4 +1,4 @@
-"""Operator that publishes through instances and samples what they show."""
+"""Operator that publishes changes and samples the configuration of instances."""
 
 import asyncio
 import hashlib
@@ -15,19 +15,22 @@
 RPC_TIMEOUT_S = 5.0
 SAMPLE_TIMEOUT_S = 1.0
 PUBLISH_TIMEOUT_S = 15.0
-PUBLISH_PAUSE_S = 0.1
-SAMPLE_PAUSE_S = 0.1
+PUBLISH_POLL_INTERVAL_S = 0.1
+SAMPLE_INTERVAL_S = 0.1
 
 Rotation = Callable[[], list[InstanceMember]]
 
 
 class PublishError(Exception):
-    """Tell that a change could not be published."""
+    """Report that a change could not be published or was not applied in time."""
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """Name a change and the call that publishes it; the base is filled in."""
+    """Represent a change and the RPC method and request that publish it.
+
+    The base revision of the request is set when the change is sent.
+    """
 
     name: str
     method: str
@@ -35,25 +38,25 @@
 
 
 class Operator:
-    """Publish changes and keep what instances showed.
+    """Publish changes and record the configurations that instances return.
 
     Parameters
     ----------
     rotation : callable
-        Returns the instances to talk to.
+        Returns the instances to send requests to.
     """
 
     def __init__(self, rotation: Rotation) -> None:
         self.rotation = rotation
-        self.accepted: list[ChangeAccepted] = []
-        self.seen: list[ConfigurationSeen] = []
+        self.accepted_changes: list[ChangeAccepted] = []
+        self.seen_configurations: list[ConfigurationSeen] = []
 
     async def publish(self, change: Change) -> int:
-        """Publish a change, again after a conflict; return its revision."""
-        give_up_s = time.monotonic() + PUBLISH_TIMEOUT_S
+        """Publish a change, with retries, and return its revision."""
+        deadline_s = time.monotonic() + PUBLISH_TIMEOUT_S
         problem = "no instance is ready"
         attempt = 0
-        while time.monotonic() < give_up_s:
+        while time.monotonic() < deadline_s:
             members = self.rotation()
             if members:
                 reply = await self._publish_once(
@@ -63,14 +66,14 @@
                     return reply
                 problem = reply
             attempt += 1
-            await asyncio.sleep(PUBLISH_PAUSE_S)
+            await asyncio.sleep(PUBLISH_POLL_INTERVAL_S)
         raise PublishError(f"{change.name}: {problem}")
 
     async def _publish_once(self, change: Change, member: InstanceMember) -> int | str:
-        """Return the accepted revision, or the problem if it is worth a repeat."""
+        """Return the accepted revision, or the problem if the change can be retried."""
         try:
             listed = await _list_services(member, RPC_TIMEOUT_S)
-            reply = await self._send(member, change, listed.revision)
+            reply = await self._send_change(member, change, listed.revision)
         except grpc.aio.AioRpcError as error:
             return str(error.details())
         if reply.HasField("invalid"):
@@ -79,30 +82,34 @@
             return reply.accepted.revision
         return str(reply)
 
-    async def wait_in_force(self, revision: int) -> None:
-        """Wait until all instances show a revision or a later one."""
-        give_up_s = time.monotonic() + PUBLISH_TIMEOUT_S
-        while time.monotonic() < give_up_s:
-            views = [await self._revision(member) for member in self.rotation()]
-            if views and min(views) >= revision:
+    async def wait_until_applied(self, revision: int) -> None:
+        """Wait until all instances have applied a revision or a later one."""
+        deadline_s = time.monotonic() + PUBLISH_TIMEOUT_S
+        while time.monotonic() < deadline_s:
+            revisions = [await self._get_revision(member) for member in self.rotation()]
+            if revisions and min(revisions) >= revision:
                 return
-            await asyncio.sleep(PUBLISH_PAUSE_S)
-        raise PublishError(f"revision {revision} is not in force; seen: {views}")
+            await asyncio.sleep(PUBLISH_POLL_INTERVAL_S)
+        raise PublishError(f"revision {revision} was not applied, got {revisions}")
 
-    async def race(self, change: Change) -> None:
-        """Publish a change through all instances at once, on the same base."""
+    async def publish_concurrently(self, change: Change) -> None:
+        """Publish a change through all instances at once, on the same base revision."""
         members = self.rotation()
         listed = await _list_services(members[0], RPC_TIMEOUT_S)
-        sends = (self._send(member, change, listed.revision) for member in members)
+        sends = (
+            self._send_change(member, change, listed.revision) for member in members
+        )
         await asyncio.gather(*sends, return_exceptions=True)
 
     async def sample_forever(self) -> None:
-        """Note again and again which configuration each instance shows."""
+        """Record the configuration of each instance at regular intervals."""
         while True:
-            await asyncio.gather(*(self._sample(m) for m in self.rotation()))
-            await asyncio.sleep(SAMPLE_PAUSE_S)
+            await asyncio.gather(
+                *(self._record_configuration(m) for m in self.rotation())
+            )
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
 
-    async def _send(
+    async def _send_change(
         self, member: InstanceMember, change: Change, base_revision: int
     ) -> operators_pb2.ChangeReply:
         request = type(change.request)()
@@ -114,23 +121,23 @@
         if reply.HasField("accepted"):
             revision = reply.accepted.revision
             accepted = ChangeAccepted(base_revision, revision, change.name, time.time())
-            self.accepted.append(accepted)
+            self.accepted_changes.append(accepted)
         return reply
 
-    async def _revision(self, member: InstanceMember) -> int:
+    async def _get_revision(self, member: InstanceMember) -> int:
         listed = await _list_services(member, RPC_TIMEOUT_S)
         return listed.revision
 
-    async def _sample(self, member: InstanceMember) -> None:
-        asked_at_s = time.time()
+    async def _record_configuration(self, member: InstanceMember) -> None:
+        requested_at_s = time.time()
         try:
             listed = await _list_services(member, SAMPLE_TIMEOUT_S)
         except grpc.aio.AioRpcError:
             return
         view = ConfigurationSeen(
-            member.instance_id, listed.revision, _digest(listed), asked_at_s
+            member.instance_id, listed.revision, _compute_digest(listed), requested_at_s
         )
-        self.seen.append(view)
+        self.seen_configurations.append(view)
 
 
 async def _list_services(
@@ -142,8 +149,11 @@
         return await stub.ListServices(request, timeout=timeout_s)
 
 
-def _digest(listed: operators_pb2.ListServicesReply) -> str:
-    """Return a digest that does not depend on the order of the lists."""
+def _compute_digest(listed: operators_pb2.ListServicesReply) -> str:
+    """Return a digest of a reply that does not depend on the order of its lists.
+
+    The lists of the reply are sorted in place.
+    """
     for service in listed.services:
         service.targets.sort(key=lambda target: target.target_id)
     listed.services.sort(key=lambda service: service.service_id)
--- a/packages/baobabstandins/baobabstandins/fleet/_ports.py
+++ b/packages/baobabstandins/baobabstandins/fleet/_ports.py
@@ -1,13 +1,13 @@
-"""Find free ports for programs that must know them before they start."""
+"""Reserve free ports for programs whose ports must be known before they start."""
 
 import socket
 
 
 def reserve_port(host: str) -> int:
-    """Return a free port that the system gives to nobody else for a while.
+    """Return a free port that the system does not assign to others for a while.
 
-    The port is left in the state TIME_WAIT: a listener that reuses addresses can
-    bind it, while the system does not pick it for other connections.
+    The port is left in the state TIME_WAIT: a listener with SO_REUSEADDR can bind
+    it, but the system does not pick it for other connections.
     """
     with socket.socket() as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/packages/baobabstandins/baobabstandins/fleet/_settings_file.py
+++ b/packages/baobabstandins/baobabstandins/fleet/_settings_file.py
@@ -7,7 +7,7 @@
 
 
 def write_settings(path: Path, sections: SettingsSections) -> None:
-    """Write sections of settings as INI."""
+    """Write sections of settings to an INI file."""
     parser = ConfigParser(interpolation=None)
     parser.read_dict(sections)
     with path.open("w") as file:
--- a/packages/baobabstandins/baobabstandins/platform/__init__.py
+++ b/packages/baobabstandins/baobabstandins/platform/__init__.py
@@ -1,13 +1,13 @@
-"""Stand-in for the platform's log and list of instances."""
+"""Stand-in for the log and the instance list of the platform."""
 
 from baobabstandins.platform._faults import PlatformFaults
-from baobabstandins.platform._instances import InstanceEntry, ListedInstances
+from baobabstandins.platform._instances import InstanceEntry, LaggedInstanceList
 from baobabstandins.platform._log import Log, Record, TokenBucket
 from baobabstandins.platform._server import PlatformServer, make_platform
 
 __all__ = [
     "InstanceEntry",
-    "ListedInstances",
+    "LaggedInstanceList",
     "Log",
     "PlatformFaults",
     "PlatformServer",
--- a/packages/baobabstandins/baobabstandins/platform/__main__.py
+++ b/packages/baobabstandins/baobabstandins/platform/__main__.py
@@ -9,15 +9,21 @@
 
 FLAGS = flags.FLAGS
 flags.DEFINE_string("host", "127.0.0.1", "IP number to listen on")
-flags.DEFINE_integer("port", 6000, "port to listen on; 0 takes a free one")
-flags.DEFINE_float("retention_s", 600.0, "how long records are kept, in s")
-flags.DEFINE_float("appends_per_s", 300.0, "limit on appends over all streams")
-flags.DEFINE_float("list_lag_ms", 1000.0, "lag of the list of instances, in ms")
-flags.DEFINE_float("list_expiry_ms", 5000.0, "life of an entry not renewed, in ms")
+flags.DEFINE_integer("port", 6000, "port to listen on; 0 picks a free one")
+flags.DEFINE_float("retention_s", 600.0, "retention of records, in s")
+flags.DEFINE_float(
+    "appends_per_s", 300.0, "limit on appends per second over all streams"
+)
+flags.DEFINE_float("list_lag_ms", 1000.0, "lag of the instance list, in ms")
+flags.DEFINE_float(
+    "list_expiry_ms",
+    5000.0,
+    "time after which an entry that is not renewed expires, in ms",
+)
 
 
 async def serve() -> None:
-    """Serve until a signal comes."""
+    """Serve until SIGTERM or SIGINT arrives."""
     faults = PlatformFaults(
         retention_ms=FLAGS.retention_s * 1000, appends_per_s=FLAGS.appends_per_s
     )
@@ -31,7 +37,7 @@
 
 
 def main(argv: list[str]) -> None:
-    """Run the event loop."""
+    """Serve with the settings of the command line."""
     if len(argv) > 1:
         raise app.UsageError(f"unexpected argument {argv[1]!r}")
     asyncio.run(serve())
--- a/packages/baobabstandins/baobabstandins/platform/_faults.py
+++ b/packages/baobabstandins/baobabstandins/platform/_faults.py
@@ -1,13 +1,14 @@
-"""Faults that tests steer while the platform stand-in runs."""
+"""Faults that tests can set while the platform stand-in runs."""
 
 import msgspec
 
 
 class PlatformFaults(msgspec.Struct, kw_only=True):
-    """Hold the faults in force.
+    """Represent the active faults.
 
-    `lose_answers` counts the next appends that take effect without an answer.
-    `cut_instances` names the instances whose requests are not answered at all.
+    `lose_answers` is the number of next appends that are stored but get no
+    response. `cut_instances` lists the ids of instances that get no response to
+    any request.
     """
 
     outage: bool = False
--- a/packages/baobabstandins/baobabstandins/platform/_instances.py
+++ b/packages/baobabstandins/baobabstandins/platform/_instances.py
@@ -1,14 +1,14 @@
-"""List of instances that lags behind what instances announced."""
+"""Instance list that lags behind the announcements of instances."""
 
 from collections import defaultdict, deque
 
 import msgspec
 
-HISTORY_S = 120.0
+RENEWAL_RETENTION_S = 120.0
 
 
 class InstanceEntry(msgspec.Struct, frozen=True):
-    """Describe one instance as it announced itself."""
+    """Represent one instance as it announced itself."""
 
     instance_id: str
     zone: str
@@ -21,15 +21,15 @@
     entry: InstanceEntry
 
 
-class ListedInstances:
-    """Keep the announcements and show the list as it was a while ago.
+class LaggedInstanceList:
+    """Store announcements and return the instance list as it was `lag_s` ago.
 
     Parameters
     ----------
     lag_s : float
-        How far the list lags.
+        Lag of the list behind the announcements.
     expiry_s : float
-        How long an entry stays without renewal.
+        Time after which an entry that is not renewed expires.
     """
 
     def __init__(self, lag_s: float, expiry_s: float) -> None:
@@ -41,23 +41,26 @@
         """Add or renew an entry."""
         renewals = self._renewals[entry.instance_id]
         renewals.append(_Renewal(now_s, entry))
-        while renewals[0].at_s < now_s - HISTORY_S:
+        while renewals[0].at_s < now_s - RENEWAL_RETENTION_S:
             renewals.popleft()
 
-    def view(self, now_s: float) -> list[InstanceEntry]:
-        """Return the entries that the list shows now."""
-        seen_at_s = now_s - self.lag_s
-        newest = (self._newest(renewals, seen_at_s) for renewals in self._all())
-        return [entry for entry in newest if entry is not None]
+    def get_entries(self, now_s: float) -> list[InstanceEntry]:
+        """Return the entries that are listed at `now_s`."""
+        visible_at_s = now_s - self.lag_s
+        visible = (
+            self._get_visible_entry(renewals, visible_at_s)
+            for renewals in self._list_renewals()
+        )
+        return [entry for entry in visible if entry is not None]
 
-    def _all(self) -> list[deque[_Renewal]]:
+    def _list_renewals(self) -> list[deque[_Renewal]]:
         return [self._renewals[name] for name in sorted(self._renewals)]
 
-    def _newest(
-        self, renewals: deque[_Renewal], seen_at_s: float
+    def _get_visible_entry(
+        self, renewals: deque[_Renewal], visible_at_s: float
     ) -> InstanceEntry | None:
         for renewal in reversed(renewals):
-            if renewal.at_s <= seen_at_s:
-                fresh = seen_at_s - renewal.at_s < self.expiry_s
-                return renewal.entry if fresh else None
+            if renewal.at_s <= visible_at_s:
+                is_fresh = visible_at_s - renewal.at_s < self.expiry_s
+                return renewal.entry if is_fresh else None
         return None
--- a/packages/baobabstandins/baobabstandins/platform/_log.py
+++ b/packages/baobabstandins/baobabstandins/platform/_log.py
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """Hold one record of a stream."""
+    """Represent one record of a stream."""
 
     offset: int
     appended_at_s: float
@@ -16,7 +16,7 @@
 
 
 class _Stream:
-    """Keep the retained records of one stream."""
+    """Store the retained records of one stream."""
 
     def __init__(self) -> None:
         self.records: deque[Record] = deque()
@@ -32,38 +32,38 @@
 
 
 class Log:
-    """Keep all streams of the platform's log."""
+    """Store all streams of the platform's log."""
 
     def __init__(self) -> None:
         self._streams: dict[str, _Stream] = defaultdict(_Stream)
 
-    def append(self, stream: str, payload: bytes, now_s: float) -> int:
+    def append(self, stream_name: str, payload: bytes, now_s: float) -> int:
         """Append one record and return its offset."""
-        kept = self._streams[stream]
-        record = Record(kept.next_offset, now_s, payload)
-        kept.records.append(record)
-        kept.next_offset += 1
+        stream = self._streams[stream_name]
+        record = Record(stream.next_offset, now_s, payload)
+        stream.records.append(record)
+        stream.next_offset += 1
         return record.offset
 
     def expire(self, before_s: float) -> None:
-        """Drop the records that were appended before a point in time."""
-        for kept in self._streams.values():
-            kept.expire(before_s)
-
-    def read(self, stream: str, from_offset: int, limit: int) -> list[Record]:
-        """Return up to `limit` retained records from an offset on."""
-        kept = self._streams[stream]
-        first = max(0, from_offset - kept.earliest_offset)
-        last = min(len(kept.records), first + limit)
-        return [kept.records[index] for index in range(first, last)]
-
-    def earliest_offset(self, stream: str) -> int:
+        """Remove the records that were appended before `before_s`."""
+        for stream in self._streams.values():
+            stream.expire(before_s)
+
+    def read(self, stream_name: str, from_offset: int, limit: int) -> list[Record]:
+        """Return up to `limit` retained records, starting at `from_offset`."""
+        stream = self._streams[stream_name]
+        start = max(0, from_offset - stream.earliest_offset)
+        stop = min(len(stream.records), start + limit)
+        return [stream.records[index] for index in range(start, stop)]
+
+    def earliest_offset(self, stream_name: str) -> int:
         """Return the offset of the first retained record, or the next offset."""
-        return self._streams[stream].earliest_offset
+        return self._streams[stream_name].earliest_offset
 
-    def next_offset(self, stream: str) -> int:
-        """Return the offset that the next record gets."""
-        return self._streams[stream].next_offset
+    def next_offset(self, stream_name: str) -> int:
+        """Return the offset of the next record."""
+        return self._streams[stream_name].next_offset
 
 
 class TokenBucket:
@@ -71,14 +71,14 @@
 
     def __init__(self) -> None:
         self._tokens = 1.0
-        self._filled_at_s = 0.0
+        self._refilled_at_s = 0.0
 
     def take(self, rate_per_s: float, now_s: float) -> bool:
-        """Take one token if there is one."""
+        """Take one token if available and return whether it was taken."""
         burst = max(1.0, rate_per_s * BURST_S)
-        gained = (now_s - self._filled_at_s) * rate_per_s
+        gained = (now_s - self._refilled_at_s) * rate_per_s
         self._tokens = min(burst, self._tokens + gained)
-        self._filled_at_s = now_s
+        self._refilled_at_s = now_s
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/packages/baobabstandins/baobabstandins/platform/tests/test_server.py
+++ b/packages/baobabstandins/baobabstandins/platform/tests/test_server.py
@@ -35,38 +35,38 @@
         return response.status
 
 
-async def test_append_is_read_back(platform):
+async def test_appended_record_can_be_read(platform):
     assert await append(platform, b"one") == (201, {"offset": 0})
     page = await read(platform, "from=0")
     assert (page["earliest_offset"], page["next_offset"]) == (0, 1)
     assert base64.b64decode(page["records"][0]["payload"]) == b"one"
 
 
-async def test_long_poll_returns_when_a_record_comes(platform):
+async def test_long_poll_returns_when_a_record_is_appended(platform):
     reading = asyncio.create_task(read(platform, "from=0&wait_ms=30000"))
     await append(platform, b"one")
     assert (await reading)["next_offset"] == 1
 
 
-async def test_lost_answer_takes_effect(platform):
+async def test_append_with_lost_response_is_stored(platform):
     await put_faults(platform, lose_answers=1)
     with pytest.raises(aiohttp.ClientError):
         await append(platform, b"one")
     assert (await read(platform, "from=0"))["next_offset"] == 1
 
 
-async def test_outage_refuses_appends(platform):
+async def test_outage_rejects_appends(platform):
     await put_faults(platform, outage=True)
     status, _ = await append(platform, b"one")
     assert status == 503
 
 
-async def test_rate_limit_refuses_appends(platform):
+async def test_rate_limit_rejects_appends(platform):
     await put_faults(platform, appends_per_s=0.001)
     assert [(await append(platform, b"x"))[0] for _ in range(3)][1:] == [429, 429]
 
 
-async def test_cut_instance_gets_no_answer(platform):
+async def test_cut_instance_gets_no_response(platform):
     await put_faults(platform, cut_instances=["sapporo-1"])
     with pytest.raises(aiohttp.ClientError):
         await platform.get("/instances", headers={"Baobab-Instance": "sapporo-1"})
@@ -81,5 +81,5 @@
         assert await response.json() == {"instances": []}
 
 
-async def test_unknown_fault_is_refused(platform):
+async def test_unknown_fault_is_rejected(platform):
     assert await put_faults(platform, outtage=True) == 400
--- a/packages/baobabstandins/baobabstandins/scenarios/_actions.py
+++ b/packages/baobabstandins/baobabstandins/scenarios/_actions.py
@@ -91,7 +91,7 @@
 @act.register
 async def _(action: model.RaceZone, run: Run) -> None:
     before_s = time.time()
-    await run.operator.race(set_zone_state(action.zone, action.state))
+    await run.operator.publish_concurrently(set_zone_state(action.zone, action.state))
     _note_zone(run, action.zone, action.state, before_s)
 
 
--- a/packages/baobabstandins/baobabstandins/scenarios/_expectations.py
+++ b/packages/baobabstandins/baobabstandins/scenarios/_expectations.py
@@ -22,23 +22,23 @@
 
 @check.register
 def _(expectation: promises.NotRunIsTrue, run: Run) -> list[Finding]:
-    return checker.check_not_run_is_true(run.caller.history, _entries(run))
+    return checker.check_not_run_outcomes(run.caller.history, _entries(run))
 
 
 @check.register
 def _(expectation: promises.OwnWholeAnswers, run: Run) -> list[Finding]:
-    return checker.check_own_whole_answers(run.caller.history)
+    return checker.check_response_integrity(run.caller.history)
 
 
 @check.register
 def _(expectation: promises.EveryCallStated, run: Run) -> list[Finding]:
-    return checker.check_every_call_stated(run.caller.history)
+    return checker.check_every_call_has_outcome(run.caller.history)
 
 
 @check.register
 def _(expectation: promises.NoCallCutOff, run: Run) -> list[Finding]:
     disturbed = (m.instance_id for m in run.fleet.instances if m.disturbed)
-    return checker.check_no_call_cut_off(run.caller.history, frozenset(disturbed))
+    return checker.check_no_call_lost(run.caller.history, frozenset(disturbed))
 
 
 @check.register
@@ -91,12 +91,14 @@
 
 @check.register
 def _(expectation: promises.ConfigurationInForce, run: Run) -> list[Finding]:
-    seen = run.operator.seen
-    accepted = run.operator.accepted
+    seen_configurations = run.operator.seen_configurations
+    accepted_changes = run.operator.accepted_changes
     return [
-        *checker.check_one_change_accepted(accepted),
-        *checker.check_configuration_never_reverts(seen),
-        *checker.check_configuration_in_force(seen, accepted, expectation.grace_s),
+        *checker.check_no_conflicting_changes(accepted_changes),
+        *checker.check_configuration_never_reverts(seen_configurations),
+        *checker.check_configuration_applied(
+            seen_configurations, accepted_changes, expectation.grace_s
+        ),
     ]
 
 
@@ -125,7 +127,7 @@
 ) -> list[Finding]:
     findings = []
     for record in records:
-        findings += checker.check_no_new_work(
+        findings += checker.check_no_new_calls(
             record, absence.left_at_s, grace_s, absence.back_at_s
         )
     return findings
--- a/packages/baobabstandins/baobabstandins/scenarios/_runner.py
+++ b/packages/baobabstandins/baobabstandins/scenarios/_runner.py
@@ -73,7 +73,7 @@
     return [
         Finding("instances stay up", member.instance_id, "ended by itself")
         for member in run.fleet.instances
-        if not member.child.running
+        if not member.child.is_running
         and not member.killed
         and member not in run.terminated
     ]
@@ -84,7 +84,7 @@
     return [
         Finding("no unhandled errors", member.instance_id, str(member.child.log_path))
         for member in run.fleet.instances
-        if "Traceback" in member.child.log_text()
+        if "Traceback" in member.child.read_log()
     ]
 
 
@@ -112,8 +112,8 @@
     if drawn_percent < load.twice_percent:
         await run.caller.call_twice_at_once(call, load.repeats)
         return
-    leaves = drawn_percent < load.twice_percent + load.leaving_percent
-    await run.caller.call(call, load.repeats, leaves=leaves)
+    disconnects = drawn_percent < load.twice_percent + load.leaving_percent
+    await run.caller.call(call, load.repeats, disconnects=disconnects)
 
 
 async def _do_event(event: model.Event, run: Run) -> None:
@@ -123,7 +123,7 @@
 
 
 async def _wait_terminated(run: Run) -> None:
-    ends = [member.child.wait_end() for member in run.terminated]
+    ends = [member.child.wait_for_exit() for member in run.terminated]
     with contextlib.suppress(TimeoutError):
         await asyncio.wait_for(asyncio.gather(*ends), END_TIMEOUT_S)
 
@@ -144,7 +144,11 @@
 
 
 def _write_history(run: Run, path: Path) -> None:
-    events = [*run.caller.history, *run.operator.accepted, *run.operator.seen]
+    events = [
+        *run.caller.history,
+        *run.operator.accepted_changes,
+        *run.operator.seen_configurations,
+    ]
     lines = [f"{event}\n" for event in events]
     lines += [f"{r.target_id} {entry}\n" for r in run.records for entry in r.entries]
     lines += [f"{r.target_id} {r.counters}\n" for r in run.records]
--- a/packages/baobabstandins/baobabstandins/scenarios/_setup.py
+++ b/packages/baobabstandins/baobabstandins/scenarios/_setup.py
@@ -46,5 +46,5 @@
         step.service_id, step.prefix, step.key_rule, step.cold_limit, targets
     )
     revision = await run.operator.publish(change)
-    await run.operator.wait_in_force(revision)
+    await run.operator.wait_until_applied(revision)
     run.services[step.service_id] = step
--- a/packages/baobabstandins/baobabstandins/scenarios/tests/test_runner.py
+++ b/packages/baobabstandins/baobabstandins/scenarios/tests/test_runner.py
@@ -13,4 +13,4 @@
 
 async def test_scenario_without_calls_does_not_pass(tmp_path):
     findings = await run_scenario(parse_scenario(NO_LOAD), tmp_path)
-    assert [finding.promise for finding in findings] == ["share completed"]
+    assert [finding.invariant for finding in findings] == ["share completed"]
--- a/packages/baobabstandins/baobabstandins/soak/tests/test_checks.py
+++ b/packages/baobabstandins/baobabstandins/soak/tests/test_checks.py
@@ -16,7 +16,7 @@
 def find(*calls, runs=(RUN,), disturbances=()) -> list[str]:
     """Return the promises that a history breaks."""
     history = History(calls, tuple(runs), tuple(disturbances), calm_from_s=20.0)
-    return [finding.promise for finding in check_history(history)]
+    return [finding.invariant for finding in check_history(history)]
 
 
 def changed(**changes) -> SeenCall:
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(
-    ("call", "runs", "promise"),
+    ("call", "runs", "invariant"),
     [
         (changed(body=b"POST c-1 by i-1"), [RUN], "own whole answer"),
         (CALL, [], "own whole answer"),
@@ -41,8 +41,8 @@
         (changed(ended_at_s=12.5), [RUN], "answer in time"),
     ],
 )
-def test_broken_promise_is_found(call, runs, promise):
-    assert find(call, runs=runs) == [promise]
+def test_broken_promise_is_found(call, runs, invariant):
+    assert find(call, runs=runs) == [invariant]
 
 
 def test_instance_disturbed_from_outside_may_cut_calls_off():
--- a/packages/baobabstandins/baobabstandins/target/__init__.py
+++ b/packages/baobabstandins/baobabstandins/target/__init__.py
@@ -1,21 +1,25 @@
-"""Stand-in for a target that queues, sheds, starts cold and fails on demand."""
+"""Stand-in for a target with a queue, load shedding, cold starts and faults."""
 
-from baobabstandins.target._answer import AnswerBody, answer_body, check_answer
 from baobabstandins.target._faults import TargetFaults
 from baobabstandins.target._journal import Counters, Journal, JournalEntry
+from baobabstandins.target._response import (
+    ResponseBody,
+    check_response,
+    create_response_body,
+)
 from baobabstandins.target._server import TargetServer, make_target
 from baobabstandins.target._settings import TargetSettings, parse_specs
 
 __all__ = [
-    "AnswerBody",
+    "ResponseBody",
     "Counters",
     "Journal",
     "JournalEntry",
     "TargetFaults",
     "TargetServer",
     "TargetSettings",
-    "answer_body",
-    "check_answer",
+    "create_response_body",
+    "check_response",
     "make_target",
     "parse_specs",
 ]
--- a/packages/baobabstandins/baobabstandins/target/__main__.py
+++ b/packages/baobabstandins/baobabstandins/target/__main__.py
@@ -10,26 +10,28 @@
 
 FLAGS = flags.FLAGS
 flags.DEFINE_string("host", "127.0.0.1", "IP number to listen on")
-flags.DEFINE_integer("port", 6100, "first port to listen on; 0 takes free ones")
-flags.DEFINE_string("target_id", "target", "name of the target, or its prefix")
-flags.DEFINE_integer("targets", 1, "how many targets, on consecutive ports")
-flags.DEFINE_list("spec", [], "targets as id:port:slots instead of a count")
-flags.DEFINE_integer("slots", 2, "calls that run at once")
-flags.DEFINE_integer("queue_limit", 8, "calls that wait at most")
+flags.DEFINE_integer("port", 6100, "first port to listen on; 0 picks free ports")
+flags.DEFINE_string(
+    "target_id", "target", "id of the target, or its prefix if there are several"
+)
+flags.DEFINE_integer("targets", 1, "number of targets, on consecutive ports")
+flags.DEFINE_list("spec", [], "targets as id:port:slots, instead of --targets")
+flags.DEFINE_integer("slots", 2, "maximum of calls that run at once")
+flags.DEFINE_integer("queue_limit", 8, "maximum of calls that wait")
 flags.DEFINE_float("service_ms", 20.0, "median service time, in ms")
-flags.DEFINE_float("service_sigma", 0.3, "shape of the lognormal service time")
-flags.DEFINE_float("probe_ms", 6.0, "work that a probe costs, in ms")
-flags.DEFINE_integer("padding_bytes", 256, "padding of answers, in bytes")
-flags.DEFINE_integer("cold_calls", 20, "calls that end a cold start")
-flags.DEFINE_float("cold_ms", 1000.0, "least length of a cold start, in ms")
-flags.DEFINE_integer("cold_limit", 1, "calls at once that a cold target bears")
+flags.DEFINE_float("service_sigma", 0.3, "sigma of the lognormal service time")
+flags.DEFINE_float("probe_ms", 6.0, "processing time of a probe, in ms")
+flags.DEFINE_integer("padding_bytes", 256, "padding of responses, in bytes")
+flags.DEFINE_integer("cold_calls", 20, "calls to serve before a cold start can end")
+flags.DEFINE_float("cold_ms", 1000.0, "minimum duration of a cold start, in ms")
+flags.DEFINE_integer("cold_limit", 1, "concurrent calls that a cold target can serve")
 flags.DEFINE_bool("cold_at_start", False, "whether targets start cold")
-flags.DEFINE_integer("seed", 0, "seed of the service times")
+flags.DEFINE_integer("seed", 0, "seed for drawing service times")
 
 
 def settings_from_flags() -> list[TargetSettings]:
-    """Return the settings of all targets of this process."""
-    common = TargetSettings(
+    """Return the settings of each target of this process."""
+    defaults = TargetSettings(
         target_id=FLAGS.target_id,
         port=FLAGS.port,
         slots=FLAGS.slots,
@@ -45,19 +47,21 @@
         seed=FLAGS.seed,
     )
     if FLAGS.spec:
-        return parse_specs(FLAGS.spec, common)
+        return parse_specs(FLAGS.spec, defaults)
     if FLAGS.targets == 1:
-        return [common]
-    return [_numbered(common, index) for index in range(FLAGS.targets)]
+        return [defaults]
+    return [
+        _create_numbered_settings(defaults, index) for index in range(FLAGS.targets)
+    ]
 
 
-def _numbered(common: TargetSettings, index: int) -> TargetSettings:
-    port = common.port + index if common.port else 0
-    return replace(common, target_id=f"{common.target_id}-{index + 1}", port=port)
+def _create_numbered_settings(defaults: TargetSettings, index: int) -> TargetSettings:
+    port = defaults.port + index if defaults.port else 0
+    return replace(defaults, target_id=f"{defaults.target_id}-{index + 1}", port=port)
 
 
 async def serve(all_settings: list[TargetSettings]) -> None:
-    """Serve all targets until a signal comes."""
+    """Serve all targets until SIGTERM or SIGINT arrives."""
     runners = []
     for settings in all_settings:
         target = make_target(settings)
@@ -71,7 +75,7 @@
 
 
 def main(argv: list[str]) -> None:
-    """Run the event loop."""
+    """Serve the targets that the command line defines."""
     if len(argv) > 1:
         raise app.UsageError(f"unexpected argument {argv[1]!r}")
     asyncio.run(serve(settings_from_flags()))
--- a/packages/baobabstandins/baobabstandins/target/_cold_start.py
+++ b/packages/baobabstandins/baobabstandins/target/_cold_start.py
@@ -1,15 +1,15 @@
-"""Tell whether a target is in cold start."""
+"""Cold start of a target."""
 
 
 class ColdStart:
-    """Keep a target cold until it has served some calls for some time.
+    """Track a cold start that lasts for a number of calls and a minimum time.
 
     Parameters
     ----------
     calls : int
-        How many calls it must have served.
+        Number of calls that must be served before it ends.
     duration_s : float
-        How long the cold start lasts at least.
+        Minimum duration.
     """
 
     def __init__(self, calls: int, duration_s: float) -> None:
@@ -19,14 +19,14 @@
         self._until_s = 0.0
 
     def begin(self, now_s: float) -> None:
-        """Turn cold."""
+        """Start or restart the cold start."""
         self._calls_left = self.calls
         self._until_s = now_s + self.duration_s
 
-    def note_served(self) -> None:
-        """Count one served call."""
+    def record_served_call(self) -> None:
+        """Record one served call."""
         self._calls_left = max(0, self._calls_left - 1)
 
     def is_cold(self, now_s: float) -> bool:
-        """Tell whether the target is cold now."""
+        """Return whether the target is cold at `now_s`."""
         return self._calls_left > 0 or now_s < self._until_s
--- a/packages/baobabstandins/baobabstandins/target/_faults.py
+++ b/packages/baobabstandins/baobabstandins/target/_faults.py
@@ -1,15 +1,15 @@
-"""Faults that tests steer while a target stand-in runs."""
+"""Faults that tests can set while a target stand-in runs."""
 
 import msgspec
 
 
 class TargetFaults(msgspec.Struct, kw_only=True):
-    """Hold the faults in force.
+    """Represent the active faults.
 
-    `cold` starts a new cold start whenever it is put. `silent` makes the
-    connections that are open when it is put never answer again. `slow_until_s`
-    is in Unix seconds. `reset_after_run` and `close_before_run` count the next
-    calls to which they apply.
+    Setting `cold` starts a new cold start. After `silent` is set, the connections
+    that are open at that moment get no more responses. `lying` reports no calls in
+    flight. `slow_until_s` is in Unix seconds. `reset_after_run` and
+    `close_before_run` are the number of next calls to which they apply.
     """
 
     cold: bool = False
--- a/packages/baobabstandins/baobabstandins/target/_journal.py
+++ b/packages/baobabstandins/baobabstandins/target/_journal.py
@@ -1,10 +1,10 @@
-"""Record which calls ran at a target, and count its work."""
+"""Journal of the calls that ran at a target, and its counters."""
 
 import msgspec
 
 
 class JournalEntry(msgspec.Struct):
-    """Describe one call that ran; times are in Unix seconds."""
+    """Represent one call that ran; times are in Unix seconds."""
 
     request_id: str
     key: str
@@ -18,7 +18,7 @@
 
 
 class Counters(msgspec.Struct):
-    """Count the calls and the work of one target."""
+    """Represent the counts of calls and the processing time of one target."""
 
     calls: int = 0
     shed: int = 0
@@ -31,17 +31,17 @@
 
 
 class Journal:
-    """Keep the entries in the order in which the calls started."""
+    """Store the entries in the order in which the calls started."""
 
     def __init__(self) -> None:
         self.entries: list[JournalEntry] = []
 
     def start(self, entry: JournalEntry) -> JournalEntry:
-        """Add an entry for a call that starts to run."""
+        """Add and return the entry of a call that starts to run."""
         self.entries.append(entry)
         return entry
 
     def end(self, entry: JournalEntry, now_s: float, completed: bool) -> None:
-        """Note that a call ended."""
+        """Record the end of a call."""
         entry.ended_at_s = now_s
         entry.completed = completed
--- a/packages/baobabstandins/baobabstandins/target/_settings.py
+++ b/packages/baobabstandins/baobabstandins/target/_settings.py
@@ -5,9 +5,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetSettings:
-    """Describe one target stand-in.
+    """Represent the settings of one target stand-in.
 
-    `service_ms` is the median and `service_sigma` the lognormal shape of the
+    `service_ms` is the median and `service_sigma` the sigma of the lognormal
     service time. A target is cold until it has served `cold_calls` calls and
     `cold_ms` have passed.
     """
@@ -27,19 +27,23 @@
     seed: int = 0
 
 
-def parse_specs(specs: list[str], common: TargetSettings) -> list[TargetSettings]:
-    """Return settings from texts of the form `id:port:slots`.
+def parse_specs(specs: list[str], defaults: TargetSettings) -> list[TargetSettings]:
+    """Return the settings for specs of the form `id:port:slots`.
+
+    `defaults` provides the other settings.
 
     Raises
     ------
     ValueError
-        If a text is not of that form.
+        If a spec does not have this form.
     """
-    return [_parse_spec(spec, common) for spec in specs]
+    return [_parse_spec(spec, defaults) for spec in specs]
 
 
-def _parse_spec(spec: str, common: TargetSettings) -> TargetSettings:
+def _parse_spec(spec: str, defaults: TargetSettings) -> TargetSettings:
     parts = spec.split(":")
     if len(parts) != 3 or not parts[1].isdecimal() or not parts[2].isdecimal():
-        raise ValueError(f"spec must be id:port:slots; got {spec!r}")
-    return replace(common, target_id=parts[0], port=int(parts[1]), slots=int(parts[2]))
+        raise ValueError(f"spec must be id:port:slots, got {spec!r}")
+    return replace(
+        defaults, target_id=parts[0], port=int(parts[1]), slots=int(parts[2])
+    )
--- a/packages/baobabstandins/baobabstandins/target/_slots.py
+++ b/packages/baobabstandins/baobabstandins/target/_slots.py
@@ -1,17 +1,17 @@
-"""Run calls in a limited number of slots with a bounded queue before them."""
+"""Limit on concurrent calls, with a bounded queue."""
 
 import asyncio
 
 
 class Slots:
-    """Hand out slots in the order of arrival.
+    """Assign slots to calls in the order of arrival.
 
     Parameters
     ----------
     slots : int
-        How many calls run at once.
+        Maximum number of calls that run at once.
     queue_limit : int
-        How many calls wait at most.
+        Maximum number of calls that wait for a slot.
     """
 
     def __init__(self, slots: int, queue_limit: int) -> None:
@@ -22,17 +22,17 @@
         self._semaphore = asyncio.Semaphore(slots)
 
     @property
-    def present(self) -> int:
-        """Return how many calls run or wait."""
+    def in_flight(self) -> int:
+        """Return the number of calls that run or wait."""
         return self.running + self.waiting
 
     @property
-    def full(self) -> bool:
-        """Tell whether a further call would have to be shed."""
-        return self.present >= self.slots + self.queue_limit
+    def is_full(self) -> bool:
+        """Return whether another call would have to be shed."""
+        return self.in_flight >= self.slots + self.queue_limit
 
     async def acquire(self) -> None:
-        """Wait for a slot; a cancelled wait leaves the queue."""
+        """Wait for a slot; cancelling the wait removes the call from the queue."""
         self.waiting += 1
         try:
             await self._semaphore.acquire()
@@ -41,6 +41,6 @@
         self.running += 1
 
     def release(self) -> None:
-        """Give a slot back."""
+        """Return a slot."""
         self.running -= 1
         self._semaphore.release()
--- a/scenarios/test_keys.py
+++ b/scenarios/test_keys.py
@@ -29,7 +29,7 @@
     await fleet.start_instances(2, "sapporo")
     operator = Operator(fleet.rotation)
     change = put_service("orders", "/orders", "required", 1, targets)
-    await operator.wait_in_force(await operator.publish(change))
+    await operator.wait_until_applied(await operator.publish(change))
 
 
 async def paths_run(fleet: Fleet) -> list[str]:
--- a/scenarios/test_leave_lag.py
+++ b/scenarios/test_leave_lag.py
@@ -24,7 +24,7 @@
         await fleet.start_instances(1, "sapporo")
         operator = Operator(fleet.rotation)
         change = put_service("menu", "/menu", "none", 1, targets)
-        await operator.wait_in_force(await operator.publish(change))
+        await operator.wait_until_applied(await operator.publish(change))
         leaving = fleet.instances[0]
         async with HistoryCaller(lambda: [leaving], seed=1) as caller:
             fleet.terminate(leaving)
@@ -35,6 +35,6 @@
                 count += 1
             ended = [getattr(event, "outcome", None) for event in caller.history]
         assert not await fleet.is_ready(leaving)
-        await leaving.child.wait_end()
+        await leaving.child.wait_for_exit()
         assert ended.count("completed") == count
         assert leaving.child.process.returncode == 0
--- a/scenarios/test_leave_with_results.py
+++ b/scenarios/test_leave_with_results.py
@@ -25,7 +25,7 @@
         await fleet.start_instances(2, "sapporo")
         operator = Operator(fleet.rotation)
         change = put_service("orders", "/orders", "required", 1, targets)
-        await operator.wait_in_force(await operator.publish(change))
+        await operator.wait_until_applied(await operator.publish(change))
         platform = fleet.platform.address
         leaving, staying = fleet.instances
         call = make_call("/orders", idempotent=False, deadline_ms=DEADLINE_MS)
@@ -42,10 +42,10 @@
             # By then the log has refused the append that was on its way, too.
             await asyncio.sleep(REFUSED_FOR_S)
             await fleet.put_faults(platform, {"outage": False, "delay_ms": 0})
-            await leaving.child.wait_end()
+            await leaving.child.wait_for_exit()
             members[:] = [staying]
             await caller.call(call, repeats=0)
             events = caller.history[first_event:]
             ended = [event for event in events if hasattr(event, "outcome")]
         assert [event.outcome for event in ended] == ["completed", "completed"]
-        assert ended[0].answer_digest == ended[1].answer_digest
+        assert ended[0].response_digest == ended[1].response_digest
--- a/scenarios/test_retry_budget.py
+++ b/scenarios/test_retry_budget.py
@@ -28,7 +28,7 @@
         await fleet.start_instances(INSTANCES, "sapporo")
         operator = Operator(fleet.rotation)
         change = put_service("menu", "/menu", "none", 1, targets)
-        await operator.wait_in_force(await operator.publish(change))
+        await operator.wait_until_applied(await operator.publish(change))
         for target in targets:
             await fleet.put_faults(target.address, {"fail_fast": True})
         started_at_s = time.time()
--- a/scenarios/test_start_without_state.py
+++ b/scenarios/test_start_without_state.py
@@ -37,7 +37,7 @@
         await fleet.start_instances(1, "sapporo")
         operator = Operator(fleet.rotation)
         change = put_service("menu", "/menu", "none", 1, targets)
-        await operator.wait_in_force(await operator.publish(change))
+        await operator.wait_until_applied(await operator.publish(change))
         fleet.kill(fleet.instances[0])
         await fleet.put_faults(fleet.platform.address, {"outage": True})
         starting = asyncio.create_task(fleet.start_instances(1, "sapporo"))
--- a/scenarios/test_strangers.py
+++ b/scenarios/test_strangers.py
@@ -40,11 +40,11 @@
 
 def problems(fleet: Fleet) -> list[str]:
     """Return the logs of instances that ended or that an error took by surprise."""
-    logs = {m.instance_id: m.child.log_text() for m in fleet.instances}
+    logs = {m.instance_id: m.child.read_log() for m in fleet.instances}
     return [
         logs[member.instance_id]
         for member in fleet.instances
-        if not member.child.running or "Traceback" in logs[member.instance_id]
+        if not member.child.is_running or "Traceback" in logs[member.instance_id]
     ]
 
 
@@ -82,7 +82,7 @@
         operator = Operator(fleet.rotation)
         change = put_service("orders", "/orders", "required", 1, targets)
         revision = await operator.publish(change)
-        await operator.wait_in_force(revision)
+        await operator.wait_until_applied(revision)
         await append_bad_records(fleet.platform.address)
         for member in fleet.instances:
             send_bad_frames(member.peer_address)
@@ -95,7 +95,7 @@
             ended = [getattr(event, "outcome", None) for event in caller.history]
         assert ended.count("completed") == len(calls)
         assert problems(fleet) == []
-        await operator.wait_in_force(revision)
+        await operator.wait_until_applied(revision)
 
 
 def strange_messages() -> list[PeerMessage]:
@@ -127,7 +127,7 @@
         await fleet.start_instances(2, "sapporo")
         operator = Operator(fleet.rotation)
         change = put_service("orders", "/orders", "required", 1, targets)
-        await operator.wait_in_force(await operator.publish(change))
+        await operator.wait_until_applied(await operator.publish(change))
         for member in fleet.instances:
             with zmq.Context() as context, context.socket(zmq.PUSH) as socket:
                 socket.linger = 1_000
