--- a/benchmarks/balancing_choice.py
+++ b/benchmarks/balancing_choice.py
@@ -58,7 +58,7 @@
     """Let probes end the cold start of all targets."""
     for index in range(target_count):
         report = LoadReport(0, SLOTS, False, False)
-        balancer.report(f"target-{index}", report, 0.0)
+        balancer.record_report(f"target-{index}", report, 0.0)
     now_s = 1.0
     offset = 0
     while payload := balancer.cold_start.pop_due_proposal(now_s):
--- a/benchmarks/capacity_configuration.py
+++ b/benchmarks/capacity_configuration.py
@@ -98,13 +98,13 @@
         size_slope(
             "snapshot, each service of 25 targets",
             SERVICES,
-            lambda n: make_fold(n).snapshot_payload(),
+            lambda n: make_fold(n).create_snapshot_payload(),
         ),
         fold_slope(),
         time_slope(
             "write a snapshot, each service of 25 targets",
             SERVICES,
-            lambda n: make_fold(n).snapshot_payload,
+            lambda n: make_fold(n).create_snapshot_payload,
         ),
         time_slope(
             "load a snapshot, each service of 25 targets", SERVICES, load_snapshot
@@ -128,8 +128,8 @@
 
 def load_snapshot(services: int):
     """Return an action that loads the state of a peer."""
-    payload = make_fold(services).snapshot_payload()
-    return lambda: ConfigurationReplica().load(payload)
+    payload = make_fold(services).create_snapshot_payload()
+    return lambda: ConfigurationReplica().load_snapshot(payload)
 
 
 if __name__ == "__main__":
--- a/packages/baobabctl/baobabctl/_client.py
+++ b/packages/baobabctl/baobabctl/_client.py
@@ -1,4 +1,4 @@
-"""Client of the operators' calls that tries several servers in order."""
+"""Client of the operators' gRPC service that tries several servers in order."""
 
 from typing import Any
 
@@ -16,15 +16,15 @@
 
 
 class UnreachableError(Exception):
-    """Report that no server could be reached, so that the call had no effect."""
+    """Report that no server could be reached, so that the request had no effect."""
 
 
 class LostReplyError(Exception):
-    """Report that a server may have carried out a call whose reply was lost."""
+    """Report that a server may have executed a request whose reply was lost."""
 
 
 class OperatorsClient:
-    """Send each call to the first server that replies.
+    """Send each request to the first server that replies.
 
     A change has an id, so a change that is sent to the next server after a lost reply
     is applied once.
@@ -45,7 +45,7 @@
         problems = []
         may_have_run = False
         for server in self.servers:
-            with self._channel(server) as channel:
+            with self._create_channel(server) as channel:
                 if not self._is_ready(channel):
                     problems.append(f"{server}: no connection")
                     continue
@@ -59,7 +59,7 @@
             raise LostReplyError("; ".join(problems))
         raise UnreachableError("; ".join(problems))
 
-    def _channel(self, server: str) -> grpc.Channel:
+    def _create_channel(self, server: str) -> grpc.Channel:
         if self.credentials is None:
             return grpc.insecure_channel(server, options=_OPTIONS)
         return grpc.secure_channel(server, self.credentials, options=_OPTIONS)
--- a/packages/baobabctl/baobabctl/_commands.py
+++ b/packages/baobabctl/baobabctl/_commands.py
@@ -13,7 +13,7 @@
 from baobabctl._tables import instances_table, outcomes_table, services_table
 
 SETTLEMENTS = {"ran": pb.SETTLEMENT_RAN, "not_run": pb.SETTLEMENT_NOT_RUN}
-MAX_SLOTS_DIGITS = 9
+MAX_SLOTS_DIGITS = 9  # Every number of this length fits into uint32.
 WORDS_PER_NAME = 2
 
 
--- a/packages/baobabctl/baobabctl/_json_messages.py
+++ b/packages/baobabctl/baobabctl/_json_messages.py
@@ -51,10 +51,10 @@
     }
 
 
-def enum_name(enum: EnumDescriptor, number: int) -> str:
+def get_enum_name(enum: EnumDescriptor, number: int) -> str:
     """Return the short name of a value, such as "draining"."""
     value = enum.values_by_number.get(number)
-    return str(number) if value is None else _short_names(enum)[value.name]
+    return str(number) if value is None else _get_short_names(enum)[value.name]
 
 
 def is_unicode(text: str) -> bool:
@@ -69,7 +69,7 @@
             return [to_json_value(item) for item in value]
         return to_json_value(value)
     if field.enum_type is not None:
-        return enum_name(field.enum_type, value)
+        return get_enum_name(field.enum_type, value)
     return value
 
 
@@ -113,7 +113,7 @@
     if problem is not None:
         findings.append(Finding(place, problem))
     elif field.enum_type is not None:
-        setattr(message, field.name, _enum_numbers(field.enum_type)[value])
+        setattr(message, field.name, _get_enum_numbers(field.enum_type)[value])
     else:
         setattr(message, field.name, value)
 
@@ -130,7 +130,7 @@
 
 def _find_scalar_problem(field: FieldDescriptor, value: Any) -> str | None:
     if field.enum_type is not None:
-        known = list(_enum_numbers(field.enum_type))
+        known = list(_get_enum_numbers(field.enum_type))
         if value not in known:
             return f"must be one of {', '.join(known)}, got {value!r}"
         return None
@@ -145,12 +145,12 @@
     return None if is_unicode(value) else f"must be Unicode text, got {value!r}"
 
 
-def _enum_numbers(enum: EnumDescriptor) -> dict[str, int]:
-    names = _short_names(enum)
+def _get_enum_numbers(enum: EnumDescriptor) -> dict[str, int]:
+    names = _get_short_names(enum)
     return {names[v.name]: v.number for v in enum.values if v.number != 0}
 
 
-def _short_names(enum: EnumDescriptor) -> dict[str, str]:
+def _get_short_names(enum: EnumDescriptor) -> dict[str, str]:
     suffix = "UNSPECIFIED"
     prefix = enum.values_by_number[0].name.removesuffix(suffix)
     return {v.name: v.name.removeprefix(prefix).lower() for v in enum.values}
--- a/packages/baobabctl/baobabctl/_session.py
+++ b/packages/baobabctl/baobabctl/_session.py
@@ -35,7 +35,7 @@
 
 
 class Session:
-    """Send the calls of one command and print their outcomes."""
+    """Send the requests of one command and print their outcomes."""
 
     def __init__(
         self, client: OperatorsClient, options: Options, terminal: Terminal
--- a/packages/baobabctl/baobabctl/_tables.py
+++ b/packages/baobabctl/baobabctl/_tables.py
@@ -5,7 +5,7 @@
 from baobabapi import operators_pb2 as pb
 from tabulate import tabulate
 
-from baobabctl._json_messages import enum_name
+from baobabctl._json_messages import get_enum_name
 
 MS_PER_S = 1_000
 
@@ -16,7 +16,7 @@
     """Return services, rules, targets and zones as tables."""
     parts = [
         f"revision {reply.revision}",
-        _table(
+        _format_table(
             ("service", "prefix", "cold limit", "rules", "targets"),
             [
                 (
@@ -29,18 +29,18 @@
                 for s in reply.services
             ],
         ),
-        _table(
+        _format_table(
             ("service", "method", "path", "key", "limit ms", "class", "priority"),
             [_rule_row(s, rule) for s in reply.services for rule in s.rules],
         ),
-        _table(
+        _format_table(
             ("service", "target", "address", "zone", "slots", "state"),
             [_target_row(s, target) for s in reply.services for target in s.targets],
         ),
-        _table(
+        _format_table(
             ("zone", "state"),
             [
-                (z.zone, enum_name(pb.ZoneState.DESCRIPTOR, z.state))
+                (z.zone, get_enum_name(pb.ZoneState.DESCRIPTOR, z.state))
                 for z in reply.zones
             ],
         ),
@@ -50,7 +50,7 @@
 
 def instances_table(reply: pb.ListInstancesReply) -> str:
     """Return instances as a table."""
-    return _table(
+    return _format_table(
         ("instance", "zone", "state", "revision", "heartbeat ms", "confirmed ms"),
         [
             (
@@ -68,7 +68,7 @@
 
 def outcomes_table(reply: pb.ListUnknownOutcomesReply) -> str:
     """Return unknown outcomes as a table."""
-    return _table(
+    return _format_table(
         ("service", "key", "method", "path", "tenant", "instance", "claimed at"),
         [
             (
@@ -78,7 +78,7 @@
                 o.path,
                 o.tenant,
                 o.instance_id,
-                _time_text(o.claimed_at_unix_ms),
+                _format_time(o.claimed_at_unix_ms),
             )
             for o in reply.outcomes
         ],
@@ -100,7 +100,7 @@
         service.service_id,
         rule.method,
         rule.path_pattern,
-        enum_name(pb.KeyRule.DESCRIPTOR, rule.key_rule),
+        get_enum_name(pb.KeyRule.DESCRIPTOR, rule.key_rule),
         rule.deadline_limit_ms,
         rule.request_class,
         rule.priority,
@@ -114,15 +114,15 @@
         target.address,
         target.zone,
         target.slots,
-        enum_name(pb.TargetState.DESCRIPTOR, target.state),
+        get_enum_name(pb.TargetState.DESCRIPTOR, target.state),
     )
 
 
-def _table(headers: tuple[str, ...], rows: list[tuple[str | int, ...]]) -> str:
+def _format_table(headers: tuple[str, ...], rows: list[tuple[str | int, ...]]) -> str:
     # Parsing as numbers would change ids of digits, such as "01".
     return tabulate(rows, headers, tablefmt=_TABLE_FORMAT, disable_numparse=True)
 
 
-def _time_text(unix_ms: int) -> str:
+def _format_time(unix_ms: int) -> str:
     time = datetime.fromtimestamp(unix_ms / MS_PER_S, tz=UTC)
     return time.isoformat(timespec="milliseconds")
--- a/packages/baobabctl/baobabctl/tests/test_main.py
+++ b/packages/baobabctl/baobabctl/tests/test_main.py
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "expected"),
+    ("command", "expected"),
     [
         ("service delete orders", pb.DeleteServiceRequest(service_id="orders")),
         (
@@ -129,12 +129,12 @@
         ),
     ],
 )
-def test_each_change_is_sent(server, line, expected):
+def test_each_change_is_sent(server, command, expected):
     server.change_reply = ACCEPTED
     expected.base_revision = 4
     expected.change_id = "c1"
     flags = ["--base_revision", "4", "--change_id", "c1", "--server", server.address]
-    completed = run_command(*flags, *line.split())
+    completed = run_command(*flags, *command.split())
     assert completed.code == ExitCode.ACCEPTED
     assert server.requests == [expected]
 
@@ -203,12 +203,12 @@
 
 
 def test_a_zone_is_not_taken_out_without_confirmation(server):
-    line = ("--server", server.address, "zone", "out", "sapporo")
-    completed = run_command(*line, stdin="n\n")
+    command = ("--server", server.address, "zone", "out", "sapporo")
+    completed = run_command(*command, stdin="n\n")
     assert completed.code == ExitCode.INVALID
     assert server.requests == []
     server.change_reply = ACCEPTED
-    assert run_command(*line, stdin="y\n").code == ExitCode.ACCEPTED
+    assert run_command(*command, stdin="y\n").code == ExitCode.ACCEPTED
 
 
 def test_servers_are_tried_in_order(start_server):
@@ -271,7 +271,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "text"),
+    ("command", "text"),
     [
         ("", "a subcommand must be given; see --help"),
         ("service lst", "unknown subcommand 'service lst'; did you mean"),
@@ -286,8 +286,8 @@
         ("target put orders 01 10.0.0.1:80 sapporo x", "SLOTS must be a whole number"),
     ],
 )
-def test_invalid_usage_is_reported(line, text):
-    completed = run_command(*line.split())
+def test_invalid_usage_is_reported(command, text):
+    completed = run_command(*command.split())
     assert completed.code == ExitCode.INVALID
     assert text in completed.stderr
 
--- a/packages/baobabring/baobabring/balancing/__init__.py
+++ b/packages/baobabring/baobabring/balancing/__init__.py
@@ -11,7 +11,7 @@
 from baobabring.balancing._balancer import Balancer, create_balancer
 from baobabring.balancing._candidate import Candidate
 from baobabring.balancing._cold_start import ColdStartGuard
-from baobabring.balancing._cold_start_fold import COLD_START_STREAM
+from baobabring.balancing._cold_start_replica import COLD_START_STREAM
 from baobabring.balancing._ejection import OutlierEjection
 from baobabring.balancing._policy import POLICIES, TargetPolicy
 from baobabring.balancing._settings import BalancingSettings
--- a/packages/baobabring/baobabring/balancing/_balancer.py
+++ b/packages/baobabring/baobabring/balancing/_balancer.py
@@ -9,7 +9,7 @@
 from baobabring.balancing._peers import DecayScale, PeerLoad
 from baobabring.balancing._policy import POLICIES
 from baobabring.balancing._service import (
-    PROBATION_ANSWERS,
+    PROBATION_RESPONSES,
     ServiceState,
     TargetEntry,
     create_entry,
@@ -132,7 +132,9 @@
             return False
         factor = service.scale.factor(now_s) if self._uses_peers else 0.0
         for candidate in self._get_scan_window(service.warm):
-            in_flight = candidate.own_in_flight + candidate.peers_scaled * factor
+            in_flight = (
+                candidate.own_in_flight + candidate.scaled_peers_in_flight * factor
+            )
             if in_flight <= candidate.wait_limit:
                 return True
         return bool(service.cold and self._get_available_cold(service, now_s))
@@ -144,7 +146,7 @@
             entry.in_use for entry in service.entries.values()
         )
 
-    def usable_capacity(self, service_id: str, now_s: float) -> float:
+    def get_usable_capacity(self, service_id: str, now_s: float) -> float:
         """Return how many concurrent calls the service's usable targets can take."""
         service = self._get_service(service_id, now_s)
         if service is None:
@@ -156,7 +158,7 @@
         )
         return warm * self._settings.oversubscription + cold
 
-    def target(self, target_id: str) -> Target:
+    def get_target(self, target_id: str) -> Target:
         """Return a target's description; raises KeyError if it is unknown."""
         return self._entries[target_id].target
 
@@ -172,7 +174,7 @@
         candidate = entry.candidate
         if not self.cold_start.is_warm(target_id):
             lease_end_s = self.cold_start.get_latest_deadline_s(
-                target_id, self._in_flight(entry, now_s), now_s
+                target_id, self._get_in_flight(entry, now_s), now_s
             )
             deadline_s = min(deadline_s, now_s if lease_end_s is None else lease_end_s)
         candidate.own_in_flight += 1
@@ -192,17 +194,17 @@
         may_run = outcome is None or isinstance(outcome, Lost)
         if may_run and not self.cold_start.is_warm(target_id):
             self.cold_start.record_abandoned_call(target_id, deadline_s, now_s)
-        if outcome is not None and self._observer.observe(entry, outcome, now_s):
+        if outcome is not None and self._observer.record_outcome(entry, outcome, now_s):
             self._classify_targets(entry.service, now_s)
         if not entry.in_use and not entry.candidate.own_in_flight:
             self._drop_if_removed(entry)
 
-    def report(self, target_id: str, report: LoadReport, now_s: float) -> None:
+    def record_report(self, target_id: str, report: LoadReport, now_s: float) -> None:
         """Record the load report of a probe."""
         entry = self._entries.get(target_id)
         if entry is None:
             return
-        self.cold_start.report(target_id, report, now_s)
+        self.cold_start.record_report(target_id, report, now_s)
         if self._observer.record_report(entry, report, now_s):
             self._classify_targets(entry.service, now_s)
 
@@ -219,7 +221,9 @@
         for candidate in self._get_scan_window(service.warm):
             if candidate.target_id in excluded_targets:
                 continue
-            candidate.peers_in_flight = peers = candidate.peers_scaled * factor
+            candidate.peers_in_flight = peers = (
+                candidate.scaled_peers_in_flight * factor
+            )
             in_flight = candidate.own_in_flight + peers
             if in_flight <= candidate.free_slot_limit:
                 with_free_slot.append(candidate)
@@ -247,7 +251,7 @@
         for candidate in service.cold:
             target_id = candidate.target_id
             self.cold_start.record_demand(target_id, now_s)
-            in_flight = self._in_flight(service.entries[target_id], now_s)
+            in_flight = self._get_in_flight(service.entries[target_id], now_s)
             # Policies must compare cold and warm targets by counts of the same age.
             candidate.peers_in_flight = in_flight - candidate.own_in_flight
             if (
@@ -257,9 +261,9 @@
                 available.append(candidate)
         return available
 
-    def _in_flight(self, entry: TargetEntry, now_s: float) -> float:
+    def _get_in_flight(self, entry: TargetEntry, now_s: float) -> float:
         factor = entry.service.scale.factor(now_s)
-        peers = entry.candidate.peers_scaled * factor
+        peers = entry.candidate.scaled_peers_in_flight * factor
         return entry.candidate.own_in_flight + max(0.0, peers)
 
     def _get_service(self, service_id: str, now_s: float) -> ServiceState | None:
@@ -334,20 +338,20 @@
                 self._start_probation(entry, now_s)
             is_warm = self.cold_start.is_warm(target_id)
             (service.warm if is_warm else service.cold).append(entry.candidate)
-        service.next_return_at_s = service.ejection.next_return_at_s(now_s)
+        service.next_return_at_s = service.ejection.get_next_return_at_s(now_s)
 
     def _start_probation(self, entry: TargetEntry, now_s: float) -> None:
         """Begin the probation of a target whose ejection ended."""
-        entry.probation_answers_left = PROBATION_ANSWERS
+        entry.probation_responses_left = PROBATION_RESPONSES
         entry.update_limits(self._settings.oversubscription)
-        # A target that was unreachable may have restarted. Peers' calls in flight
-        # show that it has not.
+        # A target that was unreachable may have restarted, unless peers have calls in
+        # flight to it.
         target_id = entry.target.target_id
-        peers = self._in_flight(entry, now_s) - entry.candidate.own_in_flight
+        peers = self._get_in_flight(entry, now_s) - entry.candidate.own_in_flight
         if entry.service.ejection.was_unreachable(target_id) and (
             peers < PEERS_IDLE_BELOW_CALLS
         ):
-            self.cold_start.turned_cold(target_id, now_s)
+            self.cold_start.record_cold(target_id, now_s)
 
     def _drop_if_removed(self, entry: TargetEntry) -> None:
         if entry.removed:
--- a/packages/baobabring/baobabring/balancing/_candidate.py
+++ b/packages/baobabring/baobabring/balancing/_candidate.py
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True, eq=False)
 class Candidate:
-    """Represent one target to the policies.
+    """Represent one target as the policies see it.
 
     The balancer keeps one object per target and updates it in place, so that a
     choice copies nothing.
@@ -18,12 +18,13 @@
     free_slot_limit : float
         A slot is free while own and peers' calls in flight are at most this many.
     wait_limit : float
-        A call may wait at the target while they are at most this many.
+        A call may wait at the target while own and peers' calls in flight are at
+        most this many.
     peers_in_flight : float
         Calls of all other instances, each weighted by the age of the count; the
         balancer updates it before each choice.
-    peers_scaled : float
-        The same sum divided by a factor that all targets of the service share.
+    scaled_peers_in_flight : float
+        `peers_in_flight` divided by a factor that all targets of the service share.
     latency_ms : float
         Moving average of the time to the first byte; 0 while unknown.
     latency_ratio : float
@@ -43,7 +44,7 @@
     wait_limit: float = 0.0
     own_in_flight: int = 0
     peers_in_flight: float = 0.0
-    peers_scaled: float = 0.0
+    scaled_peers_in_flight: float = 0.0
     latency_ms: float = UNKNOWN_LATENCY_MS
     latency_ratio: float = 1.0
     latency_at_s: float = 0.0
--- a/packages/baobabring/baobabring/balancing/_cold_start.py
+++ b/packages/baobabring/baobabring/balancing/_cold_start.py
@@ -9,10 +9,10 @@
 import msgspec
 import xxhash
 
-from baobabring.balancing._cold_start_fold import (
+from baobabring.balancing._cold_start_replica import (
     NEVER_COLD,
-    ColdStartFold,
     ColdStartRecord,
+    ColdStartReplica,
     ColdStartState,
     Lease,
     TurnedCold,
@@ -28,20 +28,21 @@
 if TYPE_CHECKING:
     from baobabring.platform import Page
 
-DEMAND_LIFETIME_S = 2.0
-RESEND_AFTER_S = 1.0
+DEMAND_MAX_AGE_S = 2.0
+PROPOSAL_RETRY_DELAY_S = 1.0
 MAX_RECORDS_PER_PROPOSAL = 200
 RENEW_BELOW_LEASE_SHARE = 0.5
 MIN_USABLE_LEASE_SHARE = 0.1
 
 
 @dataclass(slots=True)
-class _Target:
+class _TargetObservations:
     """Represent local observations of a target that the log doesn't show yet.
 
     `stopped_cold_epoch` was the cold epoch when calls were stopped, and is kept
     until the log shows a newer one; `warmed_cold_epoch` is the cold epoch in which
-    the target was observed to be warm.
+    the target was observed to be warm. `returned_revision` is the revision in which
+    the target returned, and 0 once the log shows it.
     """
 
     cold_limit: int
@@ -50,7 +51,7 @@
     returned_revision: int = 0
     warmed_cold_epoch: int | None = None
     warm_skips_rank_delay: bool = False
-    good_answers: int = 0
+    good_responses: int = 0
     demand_since_s: float = 0.0
     demand_at_s: float = float("-inf")
     proposed_at_s: float = float("-inf")
@@ -73,8 +74,8 @@
         self._instance_id = instance_id
         self._holder = holder
         self._settings = settings
-        self._fold = ColdStartFold(settings.cold_lease_s, settings.clock_skew_s)
-        self._targets: dict[str, _Target] = {}
+        self._replica = ColdStartReplica(settings.cold_lease_s, settings.clock_skew_s)
+        self._targets: dict[str, _TargetObservations] = {}
         self._live: frozenset[str] = frozenset()
         self._notices: list[ColdNotice] = []
         self._next_proposal_at_s = 0.0
@@ -86,7 +87,9 @@
     def configure(self, cold_limits: dict[str, int]) -> None:
         """Set the limits of all targets, and keep the state of those that remain."""
         for target_id, cold_limit in cold_limits.items():
-            target = self._targets.setdefault(target_id, _Target(cold_limit))
+            target = self._targets.setdefault(
+                target_id, _TargetObservations(cold_limit)
+            )
             target.cold_limit = cold_limit
         for target_id in self._targets.keys() - cold_limits.keys():
             del self._targets[target_id]
@@ -101,7 +104,7 @@
             self.lacks_records = True
         new = [r for r in page.records if r.offset >= self.next_offset]
         for record in new:
-            self._fold.apply(record)
+            self._replica.apply(record)
             self.next_offset = record.offset + 1
             ahead_s = record.appended_at_s - now_s
             self._clock_is_behind = ahead_s > self._settings.clock_skew_s
@@ -112,17 +115,17 @@
 
     def _reconcile_all(self) -> None:
         for target_id, target in self._targets.items():
-            self._reconcile(target, self._fold.state(target_id))
+            self._reconcile(target, self._replica.get_state(target_id))
         self.version += 1
 
-    def snapshot_payload(self) -> bytes:
-        """Return the state as of the records read so far, encoded for a peer."""
+    def create_snapshot_payload(self) -> bytes:
+        """Return the encoded state as of the records read so far, for a peer."""
         return encode_snapshot(
-            self._fold.snapshot(self.next_offset, self.lacks_records)
+            self._replica.create_snapshot(self.next_offset, self.lacks_records)
         )
 
-    def load(self, payload: bytes) -> bool:
-        """Apply a peer's snapshot if it is ahead; return whether it was applied.
+    def load_snapshot(self, payload: bytes) -> bool:
+        """Load a snapshot from a peer if it is newer; return whether it was loaded.
 
         Records that expired before this instance began to read are available from
         peers only.
@@ -135,7 +138,7 @@
             return False
         if snapshot.next_offset == self.next_offset and not self.lacks_records:
             return False
-        self._fold.load(snapshot)
+        self._replica.load_snapshot(snapshot)
         self.next_offset = snapshot.next_offset
         self.lacks_records = snapshot.lacks_records
         self._reconcile_all()
@@ -143,14 +146,14 @@
 
     def has_state(self, target_id: str) -> bool:
         """Return whether any record in the log names the target."""
-        return self._fold.has_state(target_id)
+        return self._replica.has_state(target_id)
 
     def is_warm(self, target_id: str) -> bool:
         """Return whether the target takes calls without a lease."""
         target = self._targets.get(target_id)
         if target is None or target.stopped_cold_epoch is not None:
             return False
-        return not target.returned_revision and self._fold.state(target_id).warm
+        return not target.returned_revision and self._replica.get_state(target_id).warm
 
     def get_latest_deadline_s(
         self, target_id: str, in_flight: float, now_s: float
@@ -165,7 +168,7 @@
             return None
         if target.stopped_cold_epoch is not None or target.returned_revision:
             return None
-        state = self._fold.state(target_id)
+        state = self._replica.get_state(target_id)
         usable_s = MIN_USABLE_LEASE_SHARE * self._settings.cold_lease_s
         if state.holder != self._holder or state.expires_at_s - now_s < usable_s:
             return None
@@ -183,7 +186,7 @@
         target = self._targets.get(target_id)
         if target is None:
             return
-        if now_s - target.demand_at_s > DEMAND_LIFETIME_S:
+        if now_s - target.demand_at_s > DEMAND_MAX_AGE_S:
             target.demand_since_s = now_s
         target.demand_at_s = now_s
 
@@ -196,26 +199,26 @@
             latest_s = now_s + self._settings.cold_lease_s
             target.abandoned_deadlines_s.append(min(deadline_s, latest_s))
 
-    def record_answer(
+    def record_response(
         self, target_id: str, report: LoadReport | None, now_s: float
     ) -> None:
-        """Record a good answer of a target and the load report in it, if any."""
+        """Record a good response of a target and the load report in it, if any."""
         target = self._targets.get(target_id)
         if target is None:
             return
         if report is not None and report.cold:
-            target.good_answers = 0
-            self.turned_cold(target_id, now_s)
+            target.good_responses = 0
+            self.record_cold(target_id, now_s)
             return
         if self.is_warm(target_id):
             return
-        target.good_answers += 1
-        state = self._fold.state(target_id)
+        target.good_responses += 1
+        state = self._replica.get_state(target_id)
         never_cold = state.cold_epoch == NEVER_COLD and report is not None
-        if never_cold or target.good_answers >= self._settings.warm_after_answers:
+        if never_cold or target.good_responses >= self._settings.warm_after_responses:
             self._record_warm(target, state, now_s, skips_rank_delay=True)
 
-    def report(self, target_id: str, report: LoadReport, now_s: float) -> None:
+    def record_report(self, target_id: str, report: LoadReport, now_s: float) -> None:
         """Record the load report of a probe.
 
         A warm report ends a cold start only if the target has no cold record.
@@ -223,28 +226,28 @@
         target = self._targets.get(target_id)
         if target is None:
             return
-        state = self._fold.state(target_id)
+        state = self._replica.get_state(target_id)
         if report.cold:
             warmed_recently = now_s - state.warm_at_s < self._settings.cold_settle_s
             if not warmed_recently:
-                self.turned_cold(target_id, now_s)
+                self.record_cold(target_id, now_s)
             return
         if state.cold_epoch == NEVER_COLD and not state.warm:
             self._record_warm(target, state, now_s, skips_rank_delay=False)
 
-    def turned_cold(self, target_id: str, now_s: float) -> None:
+    def record_cold(self, target_id: str, now_s: float) -> None:
         """Stop calls to a target that turned cold, and queue a notice to the peers."""
         target = self._targets.get(target_id)
         if target is None or not self.is_warm(target_id):
             return
-        epoch = self._fold.state(target_id).cold_epoch
+        epoch = self._replica.get_state(target_id).cold_epoch
         self._stop_calls(target, epoch, now_s)
         self._notices.append(ColdNotice(target_id, epoch))
 
     def apply_notice(self, target_id: str, cold_epoch: int, now_s: float) -> None:
         """Stop calls to a target that a peer found cold, unless the notice is old."""
         target = self._targets.get(target_id)
-        state = self._fold.state(target_id)
+        state = self._replica.get_state(target_id)
         if target is None or target.stopped_cold_epoch is not None:
             return
         if cold_epoch >= state.cold_epoch and self.is_warm(target_id):
@@ -253,11 +256,11 @@
     def record_return(self, target_id: str, revision: int, now_s: float) -> None:
         """Treat a target that returned in a configuration revision as cold."""
         target = self._targets.get(target_id)
-        if target is None or self._fold.state(target_id).revision >= revision:
+        if target is None or self._replica.get_state(target_id).revision >= revision:
             return
         target.returned_revision = revision
         target.observed_at_s = now_s
-        target.good_answers = 0
+        target.good_responses = 0
         self.version += 1
 
     def pop_notices(self) -> tuple[ColdNotice, ...]:
@@ -276,7 +279,7 @@
         self._next_proposal_at_s = now_s + self._settings.cold_proposal_interval_s
         records: list[ColdStartRecord] = []
         for target_id, target in self._targets.items():
-            record = self._due_record(target_id, target, now_s)
+            record = self._get_due_record(target_id, target, now_s)
             if record is None or _was_just_proposed(target, record, now_s):
                 continue
             target.proposed_at_s = now_s
@@ -286,28 +289,32 @@
                 break
         return encode_records(tuple(records)) if records else None
 
-    def _due_record(
-        self, target_id: str, target: _Target, now_s: float
+    def _get_due_record(
+        self, target_id: str, target: _TargetObservations, now_s: float
     ) -> ColdStartRecord | None:
-        state = self._fold.state(target_id)
-        turn_s = target.observed_at_s + self._rank_delay_s(target_id)
+        state = self._replica.get_state(target_id)
+        turn_at_s = target.observed_at_s + self._get_rank_delay_s(target_id)
         if target.returned_revision:
             cold = TurnedCold(target_id, state.cold_epoch, target.returned_revision)
-            return cold if now_s >= turn_s else None
+            return cold if now_s >= turn_at_s else None
         if target.stopped_cold_epoch is not None:
             cold = TurnedCold(target_id, target.stopped_cold_epoch)
-            return cold if now_s >= turn_s else None
+            return cold if now_s >= turn_at_s else None
         if state.warm:
             return None
         if target.warmed_cold_epoch is not None:
-            is_turn = target.warm_skips_rank_delay or now_s >= turn_s
+            is_turn = target.warm_skips_rank_delay or now_s >= turn_at_s
             return TurnedWarm(target_id, target.warmed_cold_epoch) if is_turn else None
-        return self._due_lease(target_id, target, state, now_s)
+        return self._get_due_lease(target_id, target, state, now_s)
 
-    def _due_lease(
-        self, target_id: str, target: _Target, state: ColdStartState, now_s: float
+    def _get_due_lease(
+        self,
+        target_id: str,
+        target: _TargetObservations,
+        state: ColdStartState,
+        now_s: float,
     ) -> Lease | None:
-        if now_s - target.demand_at_s > DEMAND_LIFETIME_S:
+        if now_s - target.demand_at_s > DEMAND_MAX_AGE_S:
             return None
         lease_s = self._settings.cold_lease_s
         if state.holder == self._holder:
@@ -315,14 +322,14 @@
                 return None
         else:
             free_at_s = state.expires_at_s + self._settings.clock_skew_s
-            turn_s = target.demand_since_s + self._rank_delay_s(target_id)
-            if now_s <= free_at_s or now_s < turn_s:
+            turn_at_s = target.demand_since_s + self._get_rank_delay_s(target_id)
+            if now_s <= free_at_s or now_s < turn_at_s:
                 return None
         return Lease(target_id, self._holder, now_s + lease_s)
 
     def _record_warm(
         self,
-        target: _Target,
+        target: _TargetObservations,
         state: ColdStartState,
         now_s: float,
         skips_rank_delay: bool,
@@ -336,13 +343,15 @@
         target.warm_skips_rank_delay = skips_rank_delay
         target.observed_at_s = now_s
 
-    def _stop_calls(self, target: _Target, epoch: int, now_s: float) -> None:
+    def _stop_calls(
+        self, target: _TargetObservations, epoch: int, now_s: float
+    ) -> None:
         target.stopped_cold_epoch = epoch
         target.observed_at_s = now_s
-        target.good_answers = 0
+        target.good_responses = 0
         self.version += 1
 
-    def _reconcile(self, target: _Target, state: ColdStartState) -> None:
+    def _reconcile(self, target: _TargetObservations, state: ColdStartState) -> None:
         """Drop local observations that the log now shows or has superseded."""
         if (
             target.stopped_cold_epoch is not None
@@ -355,22 +364,24 @@
             state.warm or target.warmed_cold_epoch != state.cold_epoch
         ):
             target.warmed_cold_epoch = None
-            target.good_answers = 0
+            target.good_responses = 0
 
     def _is_settling(self, state: ColdStartState, now_s: float) -> bool:
         return now_s < state.cold_at_s + self._settings.cold_settle_s
 
-    def _rank_delay_s(self, target_id: str) -> float:
+    def _get_rank_delay_s(self, target_id: str) -> float:
         """Return how long to wait for a proposal of the instances of higher rank."""
         own = _hash(target_id, self._instance_id)
         rank = sum(_hash(target_id, other) > own for other in self._live)
         return self._settings.cold_rank_delay_s * log2(1 + rank)
 
 
-def _was_just_proposed(target: _Target, record: ColdStartRecord, now_s: float) -> bool:
+def _was_just_proposed(
+    target: _TargetObservations, record: ColdStartRecord, now_s: float
+) -> bool:
     if target.proposed_type is not type(record):
         return False
-    return now_s - target.proposed_at_s < RESEND_AFTER_S
+    return now_s - target.proposed_at_s < PROPOSAL_RETRY_DELAY_S
 
 
 def _hash(target_id: str, instance_id: str) -> int:
--- a/packages/baobabring/baobabring/balancing/_cold_start_fold.py
+++ b/packages/baobabring/baobabring/balancing/_cold_start_replica.py
@@ -1,4 +1,4 @@
-"""Records of cold starts in the platform's log, and the state they add up to."""
+"""Records of cold starts in the platform's log, and the replica that applies them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Lease(msgspec.Struct, frozen=True, tag="lease"):
-    """Propose that only the holder may call a cold target until the lease expires."""
+    """Request that only the holder may call a cold target until the lease expires."""
 
     target_id: str
     holder: str
@@ -51,7 +51,7 @@
 
 
 class ColdStartState(msgspec.Struct):
-    """Represent one target as of the records read so far.
+    """Represent the state of one target after the records applied so far.
 
     `cold_epoch` is the offset of the target's newest cold record.
     """
@@ -86,8 +86,10 @@
     return _snapshot_decoder.decode(payload)
 
 
-class ColdStartFold:
-    """Apply records in the log's order, with the same result at every instance.
+class ColdStartReplica:
+    """Apply records in the order of the log.
+
+    Two replicas that applied the same records have the same state.
 
     Parameters
     ----------
@@ -102,7 +104,7 @@
         self._clock_skew_s = clock_skew_s
         self._states: dict[str, ColdStartState] = {}
 
-    def state(self, target_id: str) -> ColdStartState:
+    def get_state(self, target_id: str) -> ColdStartState:
         """Return the state of a target; a target without records is in cold start."""
         return self._states.get(target_id) or ColdStartState()
 
@@ -110,14 +112,16 @@
         """Return whether any record names the target."""
         return target_id in self._states
 
-    def snapshot(self, next_offset: int, lacks_records: bool) -> ColdStartSnapshot:
+    def create_snapshot(
+        self, next_offset: int, lacks_records: bool
+    ) -> ColdStartSnapshot:
         """Return the state of all targets before the record at `next_offset`."""
         return ColdStartSnapshot(next_offset, lacks_records, self._states)
 
-    def load(self, snapshot: ColdStartSnapshot) -> None:
-        """Update targets whose cold record in a peer's snapshot is at least as new."""
+    def load_snapshot(self, snapshot: ColdStartSnapshot) -> None:
+        """Load each state of a peer's snapshot unless its cold record is older."""
         for target_id, state in snapshot.states.items():
-            if state.cold_epoch >= self.state(target_id).cold_epoch:
+            if state.cold_epoch >= self.get_state(target_id).cold_epoch:
                 self._states[target_id] = state
 
     def apply(self, log_record: LogRecord) -> None:
--- a/packages/baobabring/baobabring/balancing/_ejection.py
+++ b/packages/baobabring/baobabring/balancing/_ejection.py
@@ -1,11 +1,11 @@
-"""Outlier ejection: targets far worse than others of their service are left out."""
+"""Outlier ejection of targets that fail or are far slower than their service."""
 
 from dataclasses import dataclass
 
 from baobabring.balancing._settings import BalancingSettings
 
-LATENCY_RATIO_LIMIT = 5.0
-GOOD_ANSWERS_TO_RESET = 20
+FAILURE_LATENCY_RATIO = 5.0
+GOOD_RESPONSES_TO_RESET = 20
 SUSPECT_FAILURES = 3
 MAX_SUSPECT_SHARE = 0.5
 
@@ -16,7 +16,7 @@
 
     failures: int = 0
     unreachable: bool = False
-    good_answers: int = 0
+    good_responses: int = 0
     ejections: int = 0
     ejected_until_s: float = 0.0
 
@@ -42,18 +42,18 @@
     def record_success(
         self, target_id: str, latency_ratio: float, now_s: float
     ) -> bool:
-        """Record a good answer; return whether the set of ejected targets changed.
+        """Record a good response; return whether the set of ejected targets changed.
 
         `latency_ratio` is the target's latency divided by the service's mean.
         """
         health = self._health.get(target_id)
         if health is None:
             return False
-        if latency_ratio > LATENCY_RATIO_LIMIT:
+        if latency_ratio > FAILURE_LATENCY_RATIO:
             return self._add_failure(health, False, now_s)
         health.failures = 0
-        health.good_answers += 1
-        if health.good_answers >= GOOD_ANSWERS_TO_RESET:
+        health.good_responses += 1
+        if health.good_responses >= GOOD_RESPONSES_TO_RESET:
             health.ejections = 0
         return False
 
@@ -85,15 +85,15 @@
         health = self._health.get(target_id)
         return health is not None and health.unreachable
 
-    def next_return_at_s(self, now_s: float) -> float:
+    def get_next_return_at_s(self, now_s: float) -> float:
         """Return when the next ejection ends; infinity if no target is ejected."""
-        ends = [r.ejected_until_s for r in self._health.values()]
+        ends = [health.ejected_until_s for health in self._health.values()]
         return min((end for end in ends if end > now_s), default=float("inf"))
 
     def _add_failure(
         self, health: _TargetHealth, unreachable: bool, now_s: float
     ) -> bool:
-        health.good_answers = 0
+        health.good_responses = 0
         health.failures += 1
         health.unreachable = unreachable
         if health.ejected_until_s > now_s:
@@ -108,9 +108,9 @@
         return True
 
     def _eject(self, health: _TargetHealth, now_s: float) -> None:
-        length_s = self._settings.ejection_base_s * 2.0**health.ejections
-        length_s = min(length_s, self._settings.ejection_limit_s)
-        health.ejected_until_s = now_s + length_s
+        duration_s = self._settings.ejection_base_s * 2.0**health.ejections
+        duration_s = min(duration_s, self._settings.ejection_limit_s)
+        health.ejected_until_s = now_s + duration_s
         health.ejections = min(health.ejections + 1, 30)
         # One failure after the return ejects the target again.
         health.failures = self._settings.ejection_failures - 1
@@ -122,7 +122,9 @@
         )
 
     def _can_eject(self, now_s: float) -> bool:
-        ejected = sum(r.ejected_until_s > now_s for r in self._health.values())
+        ejected = sum(
+            health.ejected_until_s > now_s for health in self._health.values()
+        )
         return ejected + 1 <= self._settings.ejection_share * len(self._health)
 
     def _return_all(self) -> bool:
--- a/packages/baobabring/baobabring/balancing/_hot_cold.py
+++ b/packages/baobabring/baobabring/balancing/_hot_cold.py
@@ -1,4 +1,4 @@
-"""Policy that excludes targets with many calls in flight, then picks by latency."""
+"""Policy that excludes targets with many calls in flight, then chooses by latency."""
 
 from collections.abc import Sequence
 from random import Random
@@ -8,7 +8,7 @@
 
 SAMPLE_SIZE = 5
 HOT_QUANTILE = 0.8
-REPORT_LIFETIME_S = 0.1
+LOAD_REPORT_MAX_AGE_S = 0.1
 
 
 @POLICIES.register("hot-cold")
@@ -27,13 +27,13 @@
         threshold = loads[int(HOT_QUANTILE * (len(loads) - 1))]
         size = min(SAMPLE_SIZE, len(candidates))
         sample = [pick_random(candidates, rng) for _ in range(size)]
-        cold = [c for c in sample if _load(c, now_s) <= threshold]
-        if cold:
-            return min(cold, key=lambda c: c.latency_ms)
+        not_hot = [c for c in sample if _load(c, now_s) <= threshold]
+        if not_hot:
+            return min(not_hot, key=lambda c: c.latency_ms)
         return min(sample, key=lambda c: _load(c, now_s))
 
 
 def _load(candidate: Candidate, now_s: float) -> int:
-    if now_s - candidate.probe_at_s < REPORT_LIFETIME_S:
+    if now_s - candidate.probe_at_s < LOAD_REPORT_MAX_AGE_S:
         return max(candidate.own_in_flight, candidate.probe_in_flight)
     return candidate.own_in_flight
--- a/packages/baobabring/baobabring/balancing/_least_in_flight.py
+++ b/packages/baobabring/baobabring/balancing/_least_in_flight.py
@@ -1,4 +1,4 @@
-"""Policy that picks a target with the fewest own calls in flight."""
+"""Policy that chooses a target with the fewest own calls in flight."""
 
 from collections.abc import Sequence
 from random import Random
--- a/packages/baobabring/baobabring/balancing/_observer.py
+++ b/packages/baobabring/baobabring/balancing/_observer.py
@@ -1,4 +1,4 @@
-"""Updates of a target's state by the outcomes of attempts."""
+"""Updates of the state of targets and services by the outcomes of attempts."""
 
 from baobabring.balancing._cold_start import ColdStartGuard
 from baobabring.balancing._peers import PeerLoad
@@ -13,8 +13,8 @@
     Shed,
 )
 
-DECAY_MIN_S = 0.02
-DECAY_MAX_S = 2.0
+MIN_DECAY_S = 0.02
+MAX_DECAY_S = 2.0
 MIN_DECAY_CHANGE_RATIO = 1.5
 FAILURE_DECAY_S = 2.0
 MIN_SERVER_ERROR_STATUS = 500
@@ -30,7 +30,7 @@
         self._peers = peers
         self._cold_start = cold_start
 
-    def observe(
+    def record_outcome(
         self, entry: TargetEntry, outcome: AttemptOutcome, now_s: float
     ) -> bool:
         """Record an outcome; return whether the set of ejected targets changed."""
@@ -52,9 +52,9 @@
         self, entry: TargetEntry, outcome: AttemptOutcome, now_s: float
     ) -> bool:
         match outcome:
-            case Answered(answer, report, first_byte_ms):
+            case Answered(response, report, first_byte_ms):
                 self._record_cold_report(entry, report, now_s)
-                if answer.status >= MIN_SERVER_ERROR_STATUS:
+                if response.status >= MIN_SERVER_ERROR_STATUS:
                     return self._add_failure(entry, False, now_s)
                 return self._add_success(entry, report, first_byte_ms, now_s)
             case Shed(report, reached_target):
@@ -72,7 +72,7 @@
         self, entry: TargetEntry, report: LoadReport | None, now_s: float
     ) -> None:
         if report is not None and report.cold:
-            self._cold_start.record_answer(entry.target.target_id, report, now_s)
+            self._cold_start.record_response(entry.target.target_id, report, now_s)
 
     def _add_success(
         self,
@@ -83,13 +83,13 @@
     ) -> bool:
         target_id = entry.target.target_id
         service = entry.service
-        entry.observe_latency(first_byte_ms, now_s)
+        entry.record_latency(first_byte_ms, now_s)
         self._update_decay(service, now_s)
         if report is None or not report.cold:
-            self._cold_start.record_answer(target_id, report, now_s)
+            self._cold_start.record_response(target_id, report, now_s)
         ratio = entry.candidate.latency_ratio
-        if entry.probation_answers_left:
-            entry.probation_answers_left -= 1
+        if entry.probation_responses_left:
+            entry.probation_responses_left -= 1
             entry.update_limits(self._settings.oversubscription)
         return service.ejection.record_success(target_id, ratio, now_s)
 
@@ -104,7 +104,7 @@
         """Set the decay of peers' counts to a few mean service times."""
         service_times = self._settings.decay_service_times
         decay_s = service_times * service.mean_latency_ms / 1000.0
-        decay_s = min(max(decay_s, DECAY_MIN_S), DECAY_MAX_S)
+        decay_s = min(max(decay_s, MIN_DECAY_S), MAX_DECAY_S)
         change = decay_s / service.scale.decay_s
         if change > MIN_DECAY_CHANGE_RATIO or change < 1.0 / MIN_DECAY_CHANGE_RATIO:
             self._peers.set_decay(service.scale, decay_s, now_s)
--- a/packages/baobabring/baobabring/balancing/_peers.py
+++ b/packages/baobabring/baobabring/balancing/_peers.py
@@ -6,6 +6,8 @@
 from baobabring.balancing._candidate import Candidate
 from baobabring.balancing._updates import InFlightUpdate, target_key
 
+# Share of the lateness by which an update raises the clock offset, so that the offset
+# follows clocks that drift apart.
 CLOCK_DRIFT_PER_UPDATE = 0.001
 REBASE_AFTER_DECAYS = 20.0
 
@@ -49,7 +51,7 @@
 
     def apply_update(self, update: InFlightUpdate, now_s: float) -> None:
         """Replace the counts that an update names."""
-        # Counts that it doesn't name may have changed in a lost update.
+        # Counts that the update doesn't name may have changed in a lost update.
         if update.full or update.sequence != self.sequence + 1:
             self.counts.clear()
         self.sequence = update.sequence
@@ -63,7 +65,7 @@
     def _measure_lateness_s(self, offset_s: float) -> float:
         """Return the delay beyond the fastest update, and update the clock offset.
 
-        Only differences are used, so the clocks of the two need not agree.
+        Only differences are used, so the clocks of the two instances need not agree.
         """
         fastest_s = self.clock_offset_s
         if fastest_s is None or offset_s < fastest_s:
@@ -99,8 +101,8 @@
         self._add(peer, 1)
         return True
 
-    def senders(self) -> set[str]:
-        """Return the peers whose counts are stored."""
+    def get_senders(self) -> set[str]:
+        """Return the ids of the peers whose counts are stored."""
         return set(self._peers)
 
     def remove_peer(self, sender: str) -> None:
@@ -130,10 +132,12 @@
             if tracked is None:
                 continue
             candidate, scale = tracked
-            candidate.peers_scaled += sign * in_flight * scale.weight(peer.counted_at_s)
+            candidate.scaled_peers_in_flight += (
+                sign * in_flight * scale.weight(peer.counted_at_s)
+            )
 
     def _recompute_sums(self) -> None:
         for candidate, _ in self._targets.values():
-            candidate.peers_scaled = 0.0
+            candidate.scaled_peers_in_flight = 0.0
         for peer in self._peers.values():
             self._add(peer, 1)
--- a/packages/baobabring/baobabring/balancing/_policy.py
+++ b/packages/baobabring/baobabring/balancing/_policy.py
@@ -29,5 +29,5 @@
 
 
 def pick_random(candidates: Sequence[Candidate], rng: Random) -> Candidate:
-    """Return a candidate drawn at random."""
+    """Return any candidate with equal probability."""
     return candidates[int(rng.random() * len(candidates))]
--- a/packages/baobabring/baobabring/balancing/_random.py
+++ b/packages/baobabring/baobabring/balancing/_random.py
@@ -1,4 +1,4 @@
-"""Policy that picks a target at random."""
+"""Policy that chooses a target at random."""
 
 from collections.abc import Sequence
 from random import Random
--- a/packages/baobabring/baobabring/balancing/_round_robin.py
+++ b/packages/baobabring/baobabring/balancing/_round_robin.py
@@ -1,4 +1,4 @@
-"""Policy that picks the targets in turn."""
+"""Policy that chooses the targets in turn."""
 
 from collections.abc import Sequence
 from random import Random
--- a/packages/baobabring/baobabring/balancing/_service.py
+++ b/packages/baobabring/baobabring/balancing/_service.py
@@ -12,8 +12,8 @@
 LATENCY_GAIN = 0.1
 SERVICE_LATENCY_GAIN = 0.01
 FAILURE_COST_CALLS = 1.0
-FAILURE_COST_LIMIT_CALLS = 8.0
-PROBATION_ANSWERS = 3
+MAX_FAILURE_COST_CALLS = 8.0
+PROBATION_RESPONSES = 3
 PROBATION_LIMIT_CALLS = 0.5
 HALF_CALL = 0.5
 
@@ -23,8 +23,8 @@
     """Represent a target's configuration and its state.
 
     `attempt_deadlines_s` are the deadlines of the attempts in flight. A target that
-    returned from ejection takes one call at a time for `probation_answers_left` more
-    good answers.
+    returned from ejection takes one call at a time for `probation_responses_left`
+    more good responses.
     """
 
     target: Target
@@ -33,13 +33,13 @@
     in_use: bool
     removed: bool = False
     ejected: bool = False
-    probation_answers_left: int = 0
+    probation_responses_left: int = 0
     attempt_deadlines_s: list[float] = field(default_factory=list)
 
     def update_limits(self, oversubscription: float) -> None:
-        """Update the limits on calls in flight by slots and probation."""
+        """Set the limits on calls in flight from the slots, or for a probation."""
         candidate = self.candidate
-        if self.probation_answers_left:
+        if self.probation_responses_left:
             candidate.free_slot_limit = candidate.wait_limit = PROBATION_LIMIT_CALLS
             return
         # A peer's call occupies a slot until its weight falls below one half.
@@ -47,10 +47,10 @@
         candidate.free_slot_limit = slots - HALF_CALL
         candidate.wait_limit = self.target.slots * oversubscription - HALF_CALL
 
-    def observe_latency(self, latency_ms: float, now_s: float) -> None:
-        """Update the averages by the time to the first byte of an answer."""
+    def record_latency(self, latency_ms: float, now_s: float) -> None:
+        """Update the averages with the time to the first byte of a response."""
         candidate = self.candidate
-        self.service.observe_latency(latency_ms)
+        self.service.record_latency(latency_ms)
         if not candidate.latency_ms:
             candidate.latency_ms = latency_ms
             candidate.peak_latency_ms = latency_ms
@@ -69,16 +69,20 @@
         """Increase the cost of the target after a failed attempt."""
         candidate = self.candidate
         elapsed_s = max(0.0, now_s - candidate.failure_at_s)
-        left = candidate.failure_cost * max(0.0, 1.0 - elapsed_s / decay_s)
+        remaining_cost = candidate.failure_cost * max(0.0, 1.0 - elapsed_s / decay_s)
         candidate.failure_cost = min(
-            left + FAILURE_COST_CALLS, FAILURE_COST_LIMIT_CALLS
+            remaining_cost + FAILURE_COST_CALLS, MAX_FAILURE_COST_CALLS
         )
         candidate.failure_at_s = now_s
 
 
 @dataclass(slots=True, eq=False)
 class ServiceState:
-    """Represent a service with its targets in use, classified as warm or cold."""
+    """Represent a service with its targets in use, classified as warm or cold.
+
+    `cold_version` is the version of the cold start guard at the last classification,
+    and `next_return_at_s` is the time when the next ejection ends.
+    """
 
     service_id: str
     policy: TargetPolicy
@@ -91,8 +95,8 @@
     cold_version: int = -1
     next_return_at_s: float = float("inf")
 
-    def observe_latency(self, latency_ms: float) -> None:
-        """Update the service's mean by the time to the first byte of an answer."""
+    def record_latency(self, latency_ms: float) -> None:
+        """Update the service's mean with the time to the first byte of a response."""
         if not self.mean_latency_ms:
             self.mean_latency_ms = max(latency_ms, 0.01)
             return
@@ -114,6 +118,6 @@
         service,
         in_use=True,
         ejected=earlier.ejected,
-        probation_answers_left=earlier.probation_answers_left,
+        probation_responses_left=earlier.probation_responses_left,
         attempt_deadlines_s=earlier.attempt_deadlines_s,
     )
--- a/packages/baobabring/baobabring/balancing/_settings.py
+++ b/packages/baobabring/baobabring/balancing/_settings.py
@@ -14,6 +14,10 @@
         the service has a free slot; calls beyond the slots wait at the target.
     decay_service_times : float
         Time constant of the decay of peers' counts, in mean service times.
+    share_interval_ms : float
+        Minimum time between in-flight updates while a target is loaded.
+    share_idle_factor : float
+        Factor on this interval while no target is loaded or the budget is short.
     share_bytes_per_s : float
         Budget for in-flight updates; each counts once, not once per peer.
     share_renew_ms : float
@@ -22,14 +26,26 @@
         Time after which an instance sends all of its counts again.
     ejection_share : float
         Largest share of a service's targets that may be ejected at once.
+    ejection_base_s : float
+        Duration of the first ejection of a target; each further one is twice as long.
+    ejection_limit_s : float
+        Longest duration of an ejection.
+    ejection_failures : int
+        Consecutive failures after which a target is ejected.
     cold_lease_s : float
         Duration of a lease on a target in cold start.
     clock_skew_s : float
         Largest assumed difference between the clocks of instances and the log.
     cold_settle_s : float
-        Time between a cold record and the first call under a lease.
-    warm_after_answers : int
-        Good answers under a lease after which a target counts as warm.
+        Time between a cold record and the first call under a lease, and time after a
+        warm record in which cold reports of probes are ignored.
+    cold_proposal_interval_s : float
+        Minimum time between the proposals of one instance.
+    cold_rank_delay_s : float
+        The instance of rank n, from 0, delays a proposal by this time times
+        log2(1 + n), so that usually only one instance makes it.
+    warm_after_responses : int
+        Good responses under a lease after which a target counts as warm.
     """
 
     policy: str = "shared"
@@ -49,7 +65,7 @@
     cold_settle_s: float = 0.5
     cold_proposal_interval_s: float = 0.1
     cold_rank_delay_s: float = 0.25
-    warm_after_answers: int = 5
+    warm_after_responses: int = 5
 
     def __post_init__(self) -> None:
         _check_positive(self)
@@ -72,7 +88,7 @@
         "ejection_limit_s",
         "ejection_failures",
         "cold_lease_s",
-        "warm_after_answers",
+        "warm_after_responses",
     ):
         value = getattr(settings, name)
         if value <= 0:
--- a/packages/baobabring/baobabring/balancing/_shared.py
+++ b/packages/baobabring/baobabring/balancing/_shared.py
@@ -1,4 +1,4 @@
-"""Policy that picks by own and peers' calls in flight."""
+"""Policy that chooses by own and peers' calls in flight."""
 
 from collections.abc import Sequence
 from math import exp
@@ -8,12 +8,12 @@
 from baobabring.balancing._policy import POLICIES, TargetPolicy
 
 SAMPLE_SIZE = 4
-JITTER_CALLS = 0.3
+MAX_JITTER_CALLS = 0.3
 LATENCY_WEIGHT_CALLS = 0.25
-LATENCY_RATIO_LIMIT = 4.0
-LATENCY_LIFETIME_S = 1.0
+MAX_LATENCY_RATIO = 4.0
+LATENCY_MAX_AGE_S = 1.0
 FAILURE_DECAY_S = 2.0
-REMOTE_ZONE_CALLS = 0.02
+REMOTE_ZONE_COST_CALLS = 0.02
 REFERENCE_SLOTS = 2.0
 
 
@@ -36,10 +36,10 @@
         best = candidates[int(random() * count)]
         if count == 1:
             return best
-        best_cost = self._cost(best, now_s) + JITTER_CALLS * random()
+        best_cost = self._cost(best, now_s) + MAX_JITTER_CALLS * random()
         for _ in range(min(SAMPLE_SIZE, count) - 1):
             other = candidates[int(random() * count)]
-            cost = self._cost(other, now_s) + JITTER_CALLS * random()
+            cost = self._cost(other, now_s) + MAX_JITTER_CALLS * random()
             if cost < best_cost:
                 best = other
                 best_cost = cost
@@ -51,8 +51,8 @@
             age_s = now_s - candidate.failure_at_s
             cost += candidate.failure_cost * exp(-age_s / FAILURE_DECAY_S)
         if not candidate.local_zone:
-            cost += REMOTE_ZONE_CALLS
-        if now_s - candidate.latency_at_s < LATENCY_LIFETIME_S:
-            ratio = min(candidate.latency_ratio, LATENCY_RATIO_LIMIT)
+            cost += REMOTE_ZONE_COST_CALLS
+        if now_s - candidate.latency_at_s < LATENCY_MAX_AGE_S:
+            ratio = min(candidate.latency_ratio, MAX_LATENCY_RATIO)
             cost += LATENCY_WEIGHT_CALLS * ratio
         return cost * REFERENCE_SLOTS / candidate.slots
--- a/packages/baobabring/baobabring/balancing/_sharing.py
+++ b/packages/baobabring/baobabring/balancing/_sharing.py
@@ -13,6 +13,7 @@
     target_key,
 )
 
+# Assumed encoded sizes of an update and of its parts, charged to the budget.
 UPDATE_BYTES = 48
 COUNT_BYTES = 7
 NOTICE_BYTES = 40
@@ -48,11 +49,11 @@
         self._shares_counts = shares_counts
         self._sequence = -1
         self._counts: dict[str, int] = {}
-        self._sent: dict[str, int] = {}
-        self._changed: set[str] = set()
+        self._sent_counts: dict[str, int] = {}
+        self._changed_targets: set[str] = set()
         self._urgent = False
         self._sent_at_s = 0.0
-        self._full_at_s = 0.0
+        self._full_sent_at_s = 0.0
         self._budget_bytes = BUDGET_BURST_S * settings.share_bytes_per_s
         self._budget_at_s = 0.0
 
@@ -68,9 +69,9 @@
         """Remove the counts of a peer that is no longer live."""
         self._peers.remove_peer(sender)
 
-    def retain_peers(self, senders: frozenset[str]) -> None:
+    def retain_peers(self, peer_ids: frozenset[str]) -> None:
         """Remove the counts of all peers except these."""
-        for sender in self._peers.senders() - senders:
+        for sender in self._peers.get_senders() - peer_ids:
             self._peers.remove_peer(sender)
 
     def record_count(self, candidate: Candidate) -> None:
@@ -83,11 +84,11 @@
             self._counts[target_id] = in_flight
         else:
             self._counts.pop(target_id, None)
-        sent = self._sent.get(target_id, 0)
+        sent = self._sent_counts.get(target_id, 0)
         if sent == in_flight:
-            self._changed.discard(target_id)
+            self._changed_targets.discard(target_id)
             return
-        self._changed.add(target_id)
+        self._changed_targets.add(target_id)
         # A target with many free slots hardly affects the choices of peers.
         load = max(sent, in_flight) + candidate.peers_in_flight
         if load > 0.5 * candidate.slots:
@@ -97,52 +98,53 @@
         """Return the update to send to peers now, if any; it counts as sent."""
         self._refill_budget(now_s)
         notices = self._cold_start.pop_notices()
-        full = self._is_full_due(now_s)
+        full = self._is_full_update_due(now_s)
         if not notices and not full and not self._is_due(now_s):
             return None
-        names = set(self._counts) if full else self._changed
+        target_ids = set(self._counts) if full else self._changed_targets
         size_bytes = (
-            UPDATE_BYTES + COUNT_BYTES * len(names) + NOTICE_BYTES * len(notices)
+            UPDATE_BYTES + COUNT_BYTES * len(target_ids) + NOTICE_BYTES * len(notices)
         )
         if not notices and size_bytes > self._budget_bytes:
             return None
         self._budget_bytes -= size_bytes
-        return self._build_update(now_s, full, names, notices)
+        return self._build_update(now_s, full, target_ids, notices)
 
     def _build_update(
         self,
         now_s: float,
         full: bool,
-        names: Iterable[str],
+        target_ids: Iterable[str],
         notices: tuple[ColdNotice, ...],
     ) -> InFlightUpdate:
         counts = tuple(
-            TargetCount(target_key(name), self._counts.get(name, 0))
-            for name in sorted(names)
+            TargetCount(target_key(target_id), self._counts.get(target_id, 0))
+            for target_id in sorted(target_ids)
         )
+        # Starting at the current time makes the sequence higher than before a restart.
         if self._sequence < 0:
             self._sequence = int(now_s * SEQUENCES_PER_S)
         self._sequence += 1
-        self._sent = dict(self._counts)
-        self._changed = set()
+        self._sent_counts = dict(self._counts)
+        self._changed_targets = set()
         self._urgent = False
         self._sent_at_s = now_s
         if full:
-            self._full_at_s = now_s
+            self._full_sent_at_s = now_s
         return InFlightUpdate(
             self._instance_id, self._sequence, now_s, full, counts, notices
         )
 
-    def _is_full_due(self, now_s: float) -> bool:
-        if not self._counts and not self._sent:
+    def _is_full_update_due(self, now_s: float) -> bool:
+        if not self._counts and not self._sent_counts:
             return False
-        return now_s - self._full_at_s >= self._settings.share_refresh_ms / 1000.0
+        return now_s - self._full_sent_at_s >= self._settings.share_refresh_ms / 1000.0
 
     def _is_due(self, now_s: float) -> bool:
         since_ms = 1000.0 * (now_s - self._sent_at_s)
         if self._counts and since_ms >= self._settings.share_renew_ms:
             return True
-        if not self._changed:
+        if not self._changed_targets:
             return False
         interval_ms = self._settings.share_interval_ms
         if not self._urgent or self._is_short_of_budget():
--- a/packages/baobabring/baobabring/balancing/_two_choices.py
+++ b/packages/baobabring/baobabring/balancing/_two_choices.py
@@ -1,4 +1,4 @@
-"""Policies that pick the better of two random targets."""
+"""Policies that choose the better of two random targets."""
 
 from collections.abc import Sequence
 from math import exp
--- a/packages/baobabring/baobabring/balancing/tests/fakes.py
+++ b/packages/baobabring/baobabring/balancing/tests/fakes.py
@@ -30,10 +30,10 @@
     return Configuration(revision, {"menu": service}, frozenset(zones_out))
 
 
-def answered(
+def make_answered(
     status: int = 200, cold: bool | None = False, first_byte_ms: float = 20.0
 ) -> Answered:
-    """Return an answer with a load report, or without if `cold` is None."""
+    """Return a response with a load report, or without one if `cold` is None."""
     report = None if cold is None else LoadReport(1, 2, cold, False)
     return Answered(Answer(status, (), b""), report, first_byte_ms)
 
@@ -50,7 +50,7 @@
             self.records.append(LogRecord(len(self.records), now_s, payload))
 
     def page(self, from_offset: int = 0) -> Page:
-        """Return everything from an offset on."""
+        """Return all records from an offset on."""
         return Page(0, len(self.records), tuple(self.records[from_offset:]))
 
 
@@ -70,7 +70,7 @@
     """Warm up the targets by probe reports and a record in the log."""
     for index in range(100):
         report = LoadReport(0, 2, False, False)
-        balancer.report(f"t{index}", report, now_s)
+        balancer.record_report(f"t{index}", report, now_s)
     log.append(balancer.cold_start.pop_due_proposal(now_s + 0.3), now_s + 0.3)
     balancer.cold_start.apply_page(log.page(), now_s + 0.3)
 
--- a/packages/baobabring/baobabring/balancing/tests/test_balancer.py
+++ b/packages/baobabring/baobabring/balancing/tests/test_balancer.py
@@ -6,7 +6,7 @@
 from baobabring.balancing._updates import target_key
 from baobabring.balancing.tests.fakes import (
     FakeLog,
-    answered,
+    make_answered,
     make_balancer,
     make_configuration,
     make_target,
@@ -20,7 +20,9 @@
     return {balancer.choose("menu", now_s) for _ in range(100)}
 
 
-def update(counts: dict[str, int], sequence: int, sent_at_s: float) -> InFlightUpdate:
+def make_update(
+    counts: dict[str, int], sequence: int, sent_at_s: float
+) -> InFlightUpdate:
     shared = tuple(TargetCount(target_key(t), n) for t, n in counts.items())
     return InFlightUpdate("peer", sequence, sent_at_s, False, shared)
 
@@ -31,7 +33,7 @@
         assert balancer.choose("menu", 1.0) == "t0"
         balancer.attempt_started("t0", 1.0)
     assert balancer.choose("menu", 1.0) is None
-    balancer.attempt_ended("t0", answered(), 1.02)
+    balancer.attempt_ended("t0", make_answered(), 1.02)
     assert balancer.has_capacity("menu", 1.02)
 
 
@@ -47,7 +49,7 @@
 
 def test_calls_of_peers_occupy_slots_until_they_decay():
     balancer = make_warm_balancer(count=1)
-    balancer.sharing.apply(update({"t0": 2}, 1, 1.0), 1.0)
+    balancer.sharing.apply(make_update({"t0": 2}, 1, 1.0), 1.0)
     assert not balancer.has_capacity("menu", 1.0)
     assert balancer.has_capacity("menu", 3.0)
 
@@ -68,7 +70,7 @@
 
 def test_policies_without_peer_counts_use_own_calls_only():
     balancer = make_warm_balancer(count=1, policy="two-choices")
-    balancer.sharing.apply(update({"t0": 2}, 1, 1.0), 1.0)
+    balancer.sharing.apply(make_update({"t0": 2}, 1, 1.0), 1.0)
     assert balancer.has_capacity("menu", 1.0)
 
 
@@ -88,17 +90,17 @@
     balancer.attempt_started("t0", 1.0)
     balancer.configure(change, 1.1)
     assert chosen_targets(balancer, 1.1) == {"t1"}
-    balancer.attempt_ended("t0", answered(), 1.2)
+    balancer.attempt_ended("t0", make_answered(), 1.2)
 
 
 def test_removed_target_is_kept_until_its_calls_end():
     balancer = make_warm_balancer(count=2)
     balancer.attempt_started("t0", 1.0)
     balancer.configure(make_configuration([make_target(1)], 2), 1.1)
-    assert balancer.target("t0").target_id == "t0"
+    assert balancer.get_target("t0").target_id == "t0"
     balancer.attempt_ended("t0", None, 1.2)
     with pytest.raises(KeyError):
-        balancer.target("t0")
+        balancer.get_target("t0")
 
 
 def test_calls_in_flight_survive_a_new_configuration():
@@ -113,13 +115,13 @@
     balancer = make_warm_balancer(count=4)
     for _ in range(5):
         balancer.attempt_started("t0", 1.0)
-        balancer.attempt_ended("t0", answered(status=500), 1.0)
+        balancer.attempt_ended("t0", make_answered(status=500), 1.0)
     assert "t0" not in chosen_targets(balancer, 1.1)
     others = frozenset({"t1", "t2", "t3"})
     assert balancer.choose("menu", 2.5, others) == "t0"
     balancer.attempt_started("t0", 2.5)
     assert balancer.choose("menu", 2.5, others) is None
-    balancer.attempt_ended("t0", answered(), 2.5)
+    balancer.attempt_ended("t0", make_answered(), 2.5)
 
 
 def test_unreachable_target_returns_through_a_cold_start():
@@ -137,7 +139,7 @@
     targets = [make_target(index) for index in range(4)]
     balancer.configure(make_configuration(targets), 0.0)
     warm_up(balancer, log, 0.5)
-    balancer.sharing.apply(update({"t1": 1}, 1, 1.0), 1.0)
+    balancer.sharing.apply(make_update({"t1": 1}, 1, 1.0), 1.0)
     assert "t0" in chosen_targets(balancer, 1.0)
     balancer.configure(make_configuration(targets, 2, ("zone-1",)), 1.1)
     balancer.configure(make_configuration(targets, 3), 5.0)
@@ -152,7 +154,7 @@
 
 def test_target_that_reports_draining_is_ejected_for_a_while():
     balancer = make_warm_balancer(count=4)
-    balancer.report("t0", LoadReport(0, 2, False, True), 1.0)
+    balancer.record_report("t0", LoadReport(0, 2, False, True), 1.0)
     assert "t0" not in chosen_targets(balancer, 1.5)
     assert "t0" in chosen_targets(balancer, 2.5)
 
@@ -174,14 +176,14 @@
 
 def test_usable_capacity_counts_slots_of_usable_targets():
     balancer = make_warm_balancer(count=3)
-    assert balancer.usable_capacity("menu", 1.0) == 6.0
+    assert balancer.get_usable_capacity("menu", 1.0) == 6.0
     balancer.configure(make_configuration([make_target(0)], 2), 1.1)
-    assert balancer.usable_capacity("menu", 1.1) == 2.0
+    assert balancer.get_usable_capacity("menu", 1.1) == 2.0
 
 
 def test_counts_of_peers_that_are_not_live_are_dropped():
     balancer = make_warm_balancer(count=1)
-    balancer.sharing.apply(update({"t0": 2}, 1, 1.0), 1.0)
+    balancer.sharing.apply(make_update({"t0": 2}, 1, 1.0), 1.0)
     balancer.set_live(frozenset({"peer"}))
     assert not balancer.has_capacity("menu", 1.0)
     balancer.set_live(frozenset({"other"}))
@@ -190,7 +192,7 @@
 
 def test_has_targets_includes_full_but_not_removed_targets():
     balancer = make_warm_balancer(count=1)
-    balancer.sharing.apply(update({"t0": 2}, 1, 1.0), 1.0)
+    balancer.sharing.apply(make_update({"t0": 2}, 1, 1.0), 1.0)
     assert balancer.has_targets("menu")
     balancer.configure(make_configuration([], 2), 1.1)
     assert not balancer.has_targets("menu")
--- a/packages/baobabring/baobabring/balancing/tests/test_cold_start.py
+++ b/packages/baobabring/baobabring/balancing/tests/test_cold_start.py
@@ -5,10 +5,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from baobabring.balancing._cold_start_fold import ColdStartFold, Lease, encode_records
+from baobabring.balancing._cold_start_replica import (
+    ColdStartReplica,
+    Lease,
+    encode_records,
+)
 from baobabring.balancing.tests.fakes import (
     FakeLog,
-    answered,
+    make_answered,
     make_balancer,
     make_configuration,
     make_target,
@@ -34,7 +38,7 @@
 
 def turn_cold(balancer, log: FakeLog, now_s: float) -> None:
     balancer.attempt_started("t0", now_s)
-    balancer.attempt_ended("t0", answered(cold=True), now_s)
+    balancer.attempt_ended("t0", make_answered(cold=True), now_s)
     sync_with_log(balancer, log, now_s + 0.3)
 
 
@@ -42,12 +46,12 @@
     log = FakeLog()
     balancer = make_cold_balancer(log)
     assert balancer.choose("menu", 0.0) is None
-    balancer.report("t0", LoadReport(0, 4, False, False), 0.1)
+    balancer.record_report("t0", LoadReport(0, 4, False, False), 0.1)
     sync_with_log(balancer, log, 0.1)
     assert balancer.choose("menu", 0.1) == "t0"
 
 
-def test_first_answer_ends_the_first_cold_start():
+def test_first_response_ends_the_first_cold_start():
     log = FakeLog()
     balancer = make_cold_balancer(log)
     balancer.choose("menu", 0.0)
@@ -55,7 +59,7 @@
     assert balancer.choose("menu", 0.2) == "t0"
     balancer.attempt_started("t0", 0.2)
     assert balancer.choose("menu", 0.2) is None
-    balancer.attempt_ended("t0", answered(), 0.25)
+    balancer.attempt_ended("t0", make_answered(), 0.25)
     sync_with_log(balancer, log, 0.3)
     for _ in range(4):
         balancer.attempt_started(balancer.choose("menu", 0.3), 0.3)
@@ -98,7 +102,7 @@
     second.cold_start.apply_page(log.page(), 1.0)
     assert second.choose("menu", 2.0) == "t0"
     first.attempt_started("t0", 2.0)
-    first.attempt_ended("t0", answered(cold=True), 2.0)
+    first.attempt_ended("t0", make_answered(cold=True), 2.0)
     assert first.choose("menu", 2.0) is None
     second.sharing.apply(first.sharing.pop_due_update(2.0), 2.0)
     assert second.choose("menu", 2.0) is None
@@ -121,16 +125,16 @@
         at_s = now_s + 0.1 * step
         assert balancer.choose("menu", at_s) == "t0"
         balancer.attempt_started("t0", at_s)
-        balancer.attempt_ended("t0", answered(), at_s)
+        balancer.attempt_ended("t0", make_answered(), at_s)
     sync_with_log(balancer, log, now_s + 1.0)
 
 
-def test_target_that_turned_cold_needs_several_answers():
+def test_target_that_turned_cold_needs_several_responses():
     log = FakeLog()
     balancer = make_cold_balancer(log)
     warm_up(balancer, log, 0.5)
     turn_cold(balancer, log, 2.0)
-    balancer.report("t0", LoadReport(0, 4, False, False), 2.5)
+    balancer.record_report("t0", LoadReport(0, 4, False, False), 2.5)
     sync_with_log(balancer, log, 2.6)
     assert not balancer.cold_start.is_warm("t0")
     warm_under_lease(balancer, log, 3.0)
@@ -180,14 +184,14 @@
 
 
 def test_lease_passes_to_another_holder_only_after_expiry_and_skew():
-    fold = ColdStartFold(lease_limit_s=10.0, clock_skew_s=1.0)
+    replica = ColdStartReplica(lease_limit_s=10.0, clock_skew_s=1.0)
     first = encode_records((Lease("t0", "i0/1", 10.0),))
     second = encode_records((Lease("t0", "i1/1", 15.0),))
-    fold.apply(LogRecord(0, 5.0, first))
-    fold.apply(LogRecord(1, 11.0, second))
-    assert fold.state("t0").holder == "i0/1"
-    fold.apply(LogRecord(2, 11.1, second))
-    assert fold.state("t0").holder == "i1/1"
+    replica.apply(LogRecord(0, 5.0, first))
+    replica.apply(LogRecord(1, 11.0, second))
+    assert replica.get_state("t0").holder == "i0/1"
+    replica.apply(LogRecord(2, 11.1, second))
+    assert replica.get_state("t0").holder == "i1/1"
 
 
 CLOCK_OFFSETS_S = (0.0, 0.4, -0.4, 0.9)
@@ -199,7 +203,7 @@
 STEPS = 600
 
 
-class Fleet:
+class FleetSimulation:
     """Simulate instances with different clocks over one log, and count calls.
 
     All calls go to one target and end at their deadline at the latest, by the clock
@@ -262,12 +266,12 @@
         own = [call for call in self.running if call[0] is balancer]
         if own:
             self.running.remove(own[0])
-            balancer.attempt_ended("t0", answered(cold=True), now_s)
+            balancer.attempt_ended("t0", make_answered(cold=True), now_s)
 
 
-def run_fleet(seed: int) -> Fleet:
+def run_fleet(seed: int) -> FleetSimulation:
     rng = Random(seed)
-    fleet = Fleet()
+    fleet = FleetSimulation()
     for _ in range(STEPS):
         fleet.advance(rng.choices(PAUSES_S, PAUSE_WEIGHTS)[0])
         action = rng.choices(ACTIONS, ACTION_WEIGHTS)[0]
@@ -300,35 +304,37 @@
 def test_instance_that_cannot_read_the_log_loads_warm_targets_from_a_peer():
     log = FakeLog()
     peer = make_cold_balancer(log, "i1")
-    peer.report("t0", LoadReport(0, 4, False, False), 0.1)
+    peer.record_report("t0", LoadReport(0, 4, False, False), 0.1)
     sync_with_log(peer, log, 0.4)
     fresh = make_cold_balancer(FakeLog(), "i2")
     assert fresh.choose("menu", 0.5) is None
-    assert fresh.cold_start.load(peer.cold_start.snapshot_payload())
+    assert fresh.cold_start.load_snapshot(peer.cold_start.create_snapshot_payload())
     assert fresh.choose("menu", 0.5) == "t0"
 
 
 def test_instance_that_missed_expired_records_loads_the_state_of_a_peer():
     log = FakeLog()
     peer = make_cold_balancer(log, "i1")
-    peer.report("t0", LoadReport(0, 4, False, False), 0.1)
+    peer.record_report("t0", LoadReport(0, 4, False, False), 0.1)
     sync_with_log(peer, log, 0.4)
     turn_cold(peer, log, 1.0)
     fresh = make_cold_balancer(FakeLog(), "i2")
     end = len(log.records)
     fresh.cold_start.apply_page(Page(end, end, ()), 2.0)
     assert fresh.cold_start.lacks_records
-    assert fresh.cold_start.load(peer.cold_start.snapshot_payload())
+    assert fresh.cold_start.load_snapshot(peer.cold_start.create_snapshot_payload())
     assert not fresh.cold_start.lacks_records
-    assert fresh.cold_start._fold.state("t0") == peer.cold_start._fold.state("t0")
+    assert fresh.cold_start._replica.get_state(
+        "t0"
+    ) == peer.cold_start._replica.get_state("t0")
 
 
 def test_snapshot_of_a_peer_that_is_behind_changes_nothing():
     log = FakeLog()
     peer = make_cold_balancer(log, "i1")
-    payload = peer.cold_start.snapshot_payload()
-    peer.report("t0", LoadReport(0, 4, False, False), 0.1)
+    payload = peer.cold_start.create_snapshot_payload()
+    peer.record_report("t0", LoadReport(0, 4, False, False), 0.1)
     sync_with_log(peer, log, 0.4)
-    assert not peer.cold_start.load(payload)
-    assert not peer.cold_start.load(b"garbage")
+    assert not peer.cold_start.load_snapshot(payload)
+    assert not peer.cold_start.load_snapshot(b"garbage")
     assert peer.choose("menu", 0.5) == "t0"
--- a/packages/baobabring/baobabring/balancing/tests/test_ejection.py
+++ b/packages/baobabring/baobabring/balancing/tests/test_ejection.py
@@ -26,7 +26,7 @@
     assert not ejection.is_ejected("t0", 2.0)
 
 
-def test_good_answers_between_failures_prevent_ejection():
+def test_good_responses_between_failures_prevent_ejection():
     ejection = make_ejection()
     for _ in range(20):
         ejection.record_failure("t0", False, 1.0)
@@ -45,7 +45,7 @@
     ejection = make_ejection()
     fail_often(ejection, "t0", 1.0)
     ejection.record_failure("t0", False, 2.0)
-    assert ejection.next_return_at_s(2.0) == 4.0
+    assert ejection.get_next_return_at_s(2.0) == 4.0
 
 
 def test_all_ejections_are_lifted_when_most_targets_are_suspect():
--- a/packages/baobabring/baobabring/balancing/tests/test_first_start.py
+++ b/packages/baobabring/baobabring/balancing/tests/test_first_start.py
@@ -5,7 +5,7 @@
 from baobabring.balancing import Balancer
 from baobabring.balancing.tests.fakes import (
     FakeLog,
-    answered,
+    make_answered,
     make_balancer,
     make_configuration,
     make_target,
@@ -17,7 +17,7 @@
 READ_EVERY_S = 0.05
 
 
-class Fleet:
+class FleetSimulation:
     """Simulate instances over one log that they read every 50 ms."""
 
     def __init__(self, busy: int, idle: int) -> None:
@@ -37,7 +37,7 @@
         self.now_s += STEP_S
         for call in [call for call in self.running if call[0] <= self.now_s]:
             self.running.remove(call)
-            call[1].attempt_ended(call[2], answered(), self.now_s)
+            call[1].attempt_ended(call[2], make_answered(), self.now_s)
         for balancer in self.busy:
             target_id = balancer.choose("menu", self.now_s)
             if target_id is not None:
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("busy", [1, 13])
 def test_all_targets_are_warm_within_two_seconds(busy):
-    fleet = Fleet(busy, idle=13 - busy)
+    fleet = FleetSimulation(busy, idle=13 - busy)
     while not fleet.all_warm():
         fleet.step()
         assert fleet.now_s < 2.0
--- a/packages/baobabring/baobabring/balancing/tests/test_policies.py
+++ b/packages/baobabring/baobabring/balancing/tests/test_policies.py
@@ -54,12 +54,12 @@
 
 def test_hot_cold_prefers_the_fastest_target_that_is_not_hot():
     hot = [Candidate(f"h{i}", 2, own_in_flight=9, latency_ms=1.0) for i in range(2)]
-    cold = [Candidate(f"c{i}", 2, latency_ms=10.0 + i) for i in range(10)]
+    not_hot = [Candidate(f"c{i}", 2, latency_ms=10.0 + i) for i in range(10)]
     policy = POLICIES.get("hot-cold")()
     rng = Random(1)
-    chosen = [policy.choose(hot + cold, 10.0, rng) for _ in range(200)]
+    chosen = [policy.choose(hot + not_hot, 10.0, rng) for _ in range(200)]
     assert not any(candidate in hot for candidate in chosen)
-    assert chosen.count(cold[0]) > chosen.count(cold[5])
+    assert chosen.count(not_hot[0]) > chosen.count(not_hot[5])
 
 
 def test_shared_policy_prefers_fewer_peer_calls_and_failures():
--- a/packages/baobabring/baobabring/balancing/tests/test_sharing.py
+++ b/packages/baobabring/baobabring/balancing/tests/test_sharing.py
@@ -32,7 +32,7 @@
 
 
 def peers_in_flight(candidate: Candidate, scale: DecayScale, now_s: float) -> float:
-    return candidate.peers_scaled * scale.factor(now_s)
+    return candidate.scaled_peers_in_flight * scale.factor(now_s)
 
 
 def test_encoding_and_decoding_preserves_an_update():
--- a/packages/baobabring/baobabring/base/_registry.py
+++ b/packages/baobabring/baobabring/base/_registry.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 from typing import Generic, TypeVar
 
-T = TypeVar("T")
+PluginT = TypeVar("PluginT")
 
 
-class Registry(Generic[T]):
+class Registry(Generic[PluginT]):
     """Map names to the classes of one kind of plug-in.
 
     Parameters
@@ -17,12 +17,12 @@
 
     def __init__(self, kind: str) -> None:
         self.kind = kind
-        self._classes: dict[str, type[T]] = {}
+        self._classes: dict[str, type[PluginT]] = {}
 
-    def register(self, name: str) -> Callable[[type[T]], type[T]]:
+    def register(self, name: str) -> Callable[[type[PluginT]], type[PluginT]]:
         """Return a class decorator that registers a plug-in under `name`."""
 
-        def add(plugin: type[T]) -> type[T]:
+        def add(plugin: type[PluginT]) -> type[PluginT]:
             if name in self._classes:
                 raise ValueError(f"{self.kind} {name!r} is registered twice")
             self._classes[name] = plugin
@@ -30,7 +30,7 @@
 
         return add
 
-    def get(self, name: str) -> type[T]:
+    def get(self, name: str) -> type[PluginT]:
         """Return the class registered under `name`, or raise ValueError."""
         if name not in self._classes:
             known = ", ".join(self.names())
--- a/packages/baobabring/baobabring/calls/_engine.py
+++ b/packages/baobabring/baobabring/calls/_engine.py
@@ -114,7 +114,7 @@
     ) -> None:
         """Set this instance's equal share of the capacity of each service."""
         for service_id in service_ids:
-            capacity = self.balancer.usable_capacity(service_id, now_s)
+            capacity = self.balancer.get_usable_capacity(service_id, now_s)
             share = max(1, round(capacity / live_instances))
             self.queue.set_capacity(service_id, share)
 
@@ -282,7 +282,7 @@
                 call=call,
                 attempt=attempt,
                 target_id=target_id,
-                address=self.balancer.target(target_id).address,
+                address=self.balancer.get_target(target_id).address,
                 deadline_s=deadline_s,
                 retries_left=retries_to_forward(call.retries_left, attempt),
                 new_connection=not (first and call.rule.idempotent),
@@ -301,7 +301,7 @@
         service_time_ms = (now_s - running.started_at_s) * 1_000
         service_id = state.call.service_id
         self.queue.record_service_time(service_id, service_time_ms)
-        self.hedge_policy.observe(service_id, service_time_ms)
+        self.hedge_policy.record_latency(service_id, service_time_ms)
         state.last_answered = outcome
         failed = outcome.answer.status in RETRYABLE_STATUSES
         if failed and state.call.rule.idempotent:
@@ -348,7 +348,7 @@
         if not state.call.rule.idempotent:
             return
         service_id = state.call.service_id
-        hedge_at_s = self.hedge_policy.hedge_at_s(service_id, True, now_s)
+        hedge_at_s = self.hedge_policy.get_hedge_time_s(service_id, True, now_s)
         if hedge_at_s is not None and hedge_at_s < state.call.deadline_s:
             self._timers.add(hedge_at_s, state.call.call_id)
 
--- a/packages/baobabring/baobabring/calls/tests/fakes.py
+++ b/packages/baobabring/baobabring/calls/tests/fakes.py
@@ -27,10 +27,10 @@
     def __init__(self, delay_s: float) -> None:
         self.delay_s = delay_s
 
-    def observe(self, service_id: str, first_byte_ms: float) -> None:
+    def record_latency(self, service_id: str, first_byte_ms: float) -> None:
         """Ignore the delay."""
 
-    def hedge_at_s(
+    def get_hedge_time_s(
         self, service_id: str, idempotent: bool, started_at_s: float
     ) -> float | None:
         """Return the start plus the delay."""
--- a/packages/baobabring/baobabring/calls/tests/test_engine.py
+++ b/packages/baobabring/baobabring/calls/tests/test_engine.py
@@ -185,7 +185,7 @@
 
 def test_queued_call_that_cannot_meet_its_deadline_is_refused_early():
     harness = EngineHarness(targets=1)
-    slots = harness.balancer.usable_capacity("menu", harness.now_s)
+    slots = harness.balancer.get_usable_capacity("menu", harness.now_s)
     for number in range(int(slots)):
         harness.add_call(f"running-{number}")
     harness.advance(0.1)
--- a/packages/baobabring/baobabring/configuration/_replica.py
+++ b/packages/baobabring/baobabring/configuration/_replica.py
@@ -35,6 +35,8 @@
 
 @dataclass(frozen=True, slots=True)
 class _UncoveredRecord:
+    """Represent an applied record that no snapshot in the log covers."""
+
     offset: int
     appended_at_s: float
 
@@ -109,7 +111,7 @@
         if page.earliest_offset > self.read_offset:
             self._open_gap(page.earliest_offset)
 
-    def load(self, payload: bytes) -> bool:
+    def load_snapshot(self, payload: bytes) -> bool:
         """Load a snapshot from a peer if it is newer; return whether it was loaded."""
         snapshot = decode_record(payload)
         if not isinstance(snapshot, SnapshotRecord) or not self._is_newer(snapshot):
@@ -124,7 +126,7 @@
         self._close_gap_if_covered()
         return True
 
-    def snapshot_payload(self) -> bytes:
+    def create_snapshot_payload(self) -> bytes:
         """Return the state as the payload of a snapshot record."""
         snapshot = SnapshotRecord(
             revision=self._configuration.revision,
--- a/packages/baobabring/baobabring/configuration/tests/test_replica.py
+++ b/packages/baobabring/baobabring/configuration/tests/test_replica.py
@@ -102,7 +102,7 @@
 def test_the_old_configuration_is_kept_in_a_gap_until_a_snapshot_covers_it():
     payloads = [make_payload("c1", 0, PutService(make_service()))]
     payloads.append(make_payload("c2", 1, DeleteService("menu")))
-    payloads.append(replay_records(make_records(payloads)).snapshot_payload())
+    payloads.append(replay_records(make_records(payloads)).create_snapshot_payload())
     records = make_records(payloads)
     replica = replay_records(records[:1])
     replica.apply_page(Page(2, 2, ()))
@@ -114,14 +114,14 @@
 
 
 def test_a_snapshot_that_does_not_cover_the_gap_is_not_used():
-    early = replay_records(()).snapshot_payload()
+    early = replay_records(()).create_snapshot_payload()
     replica = ConfigurationReplica()
     replica.apply_page(Page(1, 2, (LogRecord(1, 1.0, early),)))
     assert replica.needs_snapshot
 
 
 def test_a_snapshot_that_claims_records_after_itself_is_not_used():
-    ahead = replay_records(make_records([b""] * 9)).snapshot_payload()
+    ahead = replay_records(make_records([b""] * 9)).create_snapshot_payload()
     replica = ConfigurationReplica()
     replica.apply_page(Page(1, 2, (LogRecord(1, 1.0, ahead),)))
     assert replica.needs_snapshot
@@ -129,13 +129,13 @@
 
 
 def test_a_snapshot_that_claims_records_after_itself_is_skipped():
-    ahead = replay_records(make_records([b""] * 9)).snapshot_payload()
+    ahead = replay_records(make_records([b""] * 9)).create_snapshot_payload()
     assert isinstance(ConfigurationReplica().apply(LogRecord(0, 1.0, ahead)), Skipped)
 
 
 def test_records_buffered_in_a_gap_are_dropped_at_the_next_gap():
     payloads = [b""] * 5
-    payloads.append(replay_records(make_records(payloads)).snapshot_payload())
+    payloads.append(replay_records(make_records(payloads)).create_snapshot_payload())
     records = make_records(payloads)
     replica = ConfigurationReplica()
     replica.apply_page(make_page(records, 1, count=2))
@@ -150,7 +150,7 @@
     peer = replay_records(make_records([payload]))
     replica = ConfigurationReplica()
     replica.apply_page(Page(2, 2, ()))
-    assert replica.load(peer.snapshot_payload())
+    assert replica.load_snapshot(peer.create_snapshot_payload())
     assert replica.configuration.revision == 1
     assert replica.needs_snapshot
 
@@ -159,14 +159,14 @@
     records = make_records([b""] * 5)
     replica = ConfigurationReplica()
     replica.apply_page(make_page(records, 1, count=2))
-    assert replica.load(replay_records(records).snapshot_payload())
+    assert replica.load_snapshot(replay_records(records).create_snapshot_payload())
     assert replica.next_offset == 5
     assert replica.read_offset == 5
 
 
 def test_state_with_a_revision_beyond_its_records_is_not_loaded():
     snapshot = SnapshotRecord(9, 3, Configuration(revision=9))
-    assert not ConfigurationReplica().load(encode_record(snapshot))
+    assert not ConfigurationReplica().load_snapshot(encode_record(snapshot))
 
 
 def test_old_verdicts_are_removed():
@@ -184,13 +184,13 @@
     peer = replay_records(make_records([payload]))
     replica = ConfigurationReplica()
     replica.apply_page(Page(1, 1, ()))
-    assert replica.load(peer.snapshot_payload())
+    assert replica.load_snapshot(peer.create_snapshot_payload())
     assert not replica.needs_snapshot
     assert replica.next_offset == 1
 
 
 def test_an_undecodable_payload_from_a_peer_is_not_loaded():
-    assert not ConfigurationReplica().load(b"junk")
+    assert not ConfigurationReplica().load_snapshot(b"junk")
 
 
 def test_a_snapshot_is_due_long_before_the_records_expire():
@@ -199,7 +199,7 @@
     rng = Random(7)
     assert not replica.is_snapshot_due(100.0 + 0.2 * RETENTION_S, RETENTION_S, rng)
     assert replica.is_snapshot_due(100.0 + 0.5 * RETENTION_S, RETENTION_S, rng)
-    replica.apply(LogRecord(1, 2000.0, replica.snapshot_payload()))
+    replica.apply(LogRecord(1, 2000.0, replica.create_snapshot_payload()))
     assert not replica.is_snapshot_due(2000.0 + 0.2 * RETENTION_S, RETENTION_S, rng)
     assert replica.is_snapshot_due(2000.0 + 0.5 * RETENTION_S, RETENTION_S, rng)
 
@@ -207,7 +207,7 @@
 def test_a_snapshot_does_not_cover_records_that_its_writer_had_not_read():
     payload = make_payload("c1", 0, PutService(make_service()))
     replica = replay_records((LogRecord(0, 100.0, payload), LogRecord(1, 200.0, b"")))
-    lagging = replay_records((LogRecord(0, 100.0, payload),)).snapshot_payload()
+    lagging = replay_records((LogRecord(0, 100.0, payload),)).create_snapshot_payload()
     replica.apply(LogRecord(2, 3000.0, lagging))
     assert replica.is_snapshot_due(200.0 + 0.5 * RETENTION_S, RETENTION_S, Random(7))
 
--- a/packages/baobabring/baobabring/configuration/tests/test_replica_properties.py
+++ b/packages/baobabring/baobabring/configuration/tests/test_replica_properties.py
@@ -71,7 +71,9 @@
         elif kind == "snapshot":
             covered = max(0, len(payloads) - number)
             payloads.append(
-                replay_records(make_records(payloads[:covered])).snapshot_payload()
+                replay_records(
+                    make_records(payloads[:covered])
+                ).create_snapshot_payload()
             )
         replica = replay_records(make_records(payloads))
     return make_records(payloads)
@@ -90,7 +92,7 @@
     for end in range(len(records) + 1):
         first = replay_records(records[:end])
         second = replay_records(records[:end])
-        assert first.snapshot_payload() == second.snapshot_payload()
+        assert first.create_snapshot_payload() == second.create_snapshot_payload()
 
 
 @PROFILE
@@ -134,7 +136,7 @@
     assert replica.needs_snapshot is not covered
     if covered:
         assert get_state(replica) == get_state(whole)
-        assert replica.snapshot_payload() == whole.snapshot_payload()
+        assert replica.create_snapshot_payload() == whole.create_snapshot_payload()
 
 
 @settings(PROFILE, max_examples=200)
@@ -152,7 +154,9 @@
     for from_peer, number, count in events:
         number = min(number, len(records))
         if from_peer:
-            replica.load(replay_records(records[:number]).snapshot_payload())
+            replica.load_snapshot(
+                replay_records(records[:number]).create_snapshot_payload()
+            )
         else:
             earliest = max(earliest, number)
             replica.apply_page(make_page(records, earliest, replica.read_offset, count))
@@ -171,6 +175,6 @@
     records = write_history(steps)
     peer_end, own_end = min(peer_end, len(records)), min(own_end, len(records))
     replica = replay_records(records[:own_end])
-    replica.load(replay_records(records[:peer_end]).snapshot_payload())
+    replica.load_snapshot(replay_records(records[:peer_end]).create_snapshot_payload())
     replica.apply_page(make_page(records, min(replica.read_offset, len(records))))
     assert get_state(replica) == get_state(replay_records(records))
--- a/packages/baobabring/baobabring/configuration/tests/test_validation.py
+++ b/packages/baobabring/baobabring/configuration/tests/test_validation.py
@@ -111,5 +111,5 @@
         (SetZoneState("saporo", ZoneState.OUT), "zone"),
     ],
 )
-def test_unknown_services_targets_and_zones_are_found(change, place):
+def test_unknown_services_targets_and_zones_are_rejected(change, place):
     assert get_places(change) == [place]
--- a/packages/baobabring/baobabring/operators/_control_plane.py
+++ b/packages/baobabring/baobabring/operators/_control_plane.py
@@ -11,7 +11,7 @@
 
 
 class ReportedState(StrEnum):
-    """Represent the state of an instance as another instance sees it."""
+    """Represent the state of an instance as known to another instance."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceStatus:
-    """Represent an instance as the instance that replies sees it."""
+    """Represent the status of an instance as known to the instance that replies."""
 
     instance_id: str
     zone: str
--- a/packages/baobabring/baobabring/operators/_requests.py
+++ b/packages/baobabring/baobabring/operators/_requests.py
@@ -69,8 +69,8 @@
 def parse_change(request: Any, configuration: Configuration) -> ParsedChange:
     """Return the change that a request asks for.
 
-    An enumeration without a known value is a finding. The rest is validated even so,
-    so that the operator gets all findings at once.
+    A field with an unknown enum value is a finding, and the rest is validated
+    nevertheless, so that the operator gets all findings at once.
     """
     findings: list[Finding] = []
     if len(request.change_id) > MAX_CHANGE_ID_CHARACTERS:
--- a/packages/baobabring/baobabring/operators/_server.py
+++ b/packages/baobabring/baobabring/operators/_server.py
@@ -67,11 +67,11 @@
     if certificates is None:
         port = server.add_insecure_port(address)
     else:
-        port = server.add_secure_port(address, _server_credentials(certificates))
+        port = server.add_secure_port(address, _create_server_credentials(certificates))
     return BoundServer(server, port)
 
 
-def _server_credentials(certificates: Certificates) -> grpc.ServerCredentials:
+def _create_server_credentials(certificates: Certificates) -> grpc.ServerCredentials:
     return grpc.ssl_server_credentials(
         [(certificates.key, certificates.certificate)],
         root_certificates=certificates.authority,
--- a/packages/baobabring/baobabring/operators/tests/test_command_line.py
+++ b/packages/baobabring/baobabring/operators/tests/test_command_line.py
@@ -46,7 +46,7 @@
 
 
 @asynccontextmanager
-async def serving(log: FakeEventLog):
+async def run_server(log: FakeEventLog):
     """Serve one instance over TLS and yield its reader and address."""
     reader = ConfigurationReader(log, log.clock, RETENTION_S, Random(1))
     publisher = ConfigurationPublisher(log, reader, log.clock)
@@ -77,7 +77,7 @@
     file.write_text(json.dumps(SERVICE))
     log = FakeEventLog(Clock())
     log.faults.append(Fault.REPLY_LOST)
-    async with serving(log) as (reader, address):
+    async with run_server(log) as (reader, address):
         assert await run_command(address, "service", "put", str(file)) == 0
         assert await run_command(address, "target", "drain", "menu", "t1") == 0
         assert await run_command(address, "zone", "out", "sapporo", "--yes") == 0
@@ -90,7 +90,7 @@
 async def test_change_based_on_an_old_revision_exits_with_conflict(tmp_path):
     file = tmp_path / "menu.json"
     file.write_text(json.dumps(SERVICE))
-    async with serving(FakeEventLog(Clock())) as (_, address):
+    async with run_server(FakeEventLog(Clock())) as (_, address):
         command = ("service", "put", str(file), "--base_revision", "0")
         assert await run_command(address, *command) == 0
         assert await run_command(address, *command) == 3
@@ -100,7 +100,7 @@
     file = tmp_path / "menu.json"
     file.write_text(json.dumps(SERVICE))
     log = FakeEventLog(Clock())
-    async with serving(log) as (reader, address):
+    async with run_server(log) as (reader, address):
         command = (
             "service",
             "put",
--- a/packages/baobabring/baobabring/operators/tests/test_server.py
+++ b/packages/baobabring/baobabring/operators/tests/test_server.py
@@ -21,13 +21,13 @@
 TIMEOUT_S = 20.0
 
 
-def server_certificates() -> Certificates:
+def read_server_certificates() -> Certificates:
     return read_certificates(
         FOLDER / "authority.pem", FOLDER / "server.pem", FOLDER / "server.key"
     )
 
 
-def client_credentials(name: str | None) -> grpc.ChannelCredentials:
+def read_client_credentials(name: str | None) -> grpc.ChannelCredentials:
     return grpc.ssl_channel_credentials(
         root_certificates=(FOLDER / "authority.pem").read_bytes(),
         private_key=(FOLDER / f"{name}.key").read_bytes() if name else None,
@@ -36,9 +36,9 @@
 
 
 @asynccontextmanager
-async def serving():
+async def run_server():
     bound = bind_operators_server(
-        FakeControlPlane(), "127.0.0.1:0", server_certificates()
+        FakeControlPlane(), "127.0.0.1:0", read_server_certificates()
     )
     await bound.server.start()
     try:
@@ -54,22 +54,22 @@
 
 
 async def test_an_operator_with_a_certificate_is_served():
-    async with serving() as address:
-        channel = grpc.aio.secure_channel(address, client_credentials("operator"))
+    async with run_server() as address:
+        channel = grpc.aio.secure_channel(address, read_client_credentials("operator"))
         assert await list_instances(channel) == pb.ListInstancesReply()
 
 
 @pytest.mark.parametrize("name", [None, "stranger"])
 async def test_a_client_without_a_certificate_of_the_authority_is_refused(name):
-    async with serving() as address:
-        channel = grpc.aio.secure_channel(address, client_credentials(name))
+    async with run_server() as address:
+        channel = grpc.aio.secure_channel(address, read_client_credentials(name))
         with pytest.raises(grpc.aio.AioRpcError) as caught:
             await list_instances(channel)
     assert caught.value.code() is grpc.StatusCode.UNAVAILABLE
 
 
 async def test_a_client_without_tls_is_refused():
-    async with serving() as address:
+    async with run_server() as address:
         with pytest.raises(grpc.aio.AioRpcError):
             await list_instances(grpc.aio.insecure_channel(address))
 
--- a/packages/baobabring/baobabring/operators/tests/test_servicer.py
+++ b/packages/baobabring/baobabring/operators/tests/test_servicer.py
@@ -70,7 +70,7 @@
 
 
 @asynccontextmanager
-async def serving(control_plane):
+async def run_server(control_plane):
     """Serve a control plane and yield a stub for it."""
     bound = bind_operators_server(control_plane, "127.0.0.1:0", None)
     await bound.server.start()
@@ -84,7 +84,7 @@
 
 
 async def send_request(control_plane, method: str, request):
-    async with serving(control_plane) as stub:
+    async with run_server(control_plane) as stub:
         return await getattr(stub, method)(request, timeout=TIMEOUT_S)
 
 
@@ -271,7 +271,7 @@
 
 async def test_deadline_follows_the_client_timeout_up_to_a_maximum():
     control_plane = FakeControlPlane()
-    async with serving(control_plane) as stub:
+    async with run_server(control_plane) as stub:
         request = pb.DeleteServiceRequest(service_id="orders")
         await stub.DeleteService(request, timeout=20.0)
         await stub.DeleteService(request, timeout=2_000.0)
--- a/packages/baobabring/baobabring/probing/_budget.py
+++ b/packages/baobabring/baobabring/probing/_budget.py
@@ -6,7 +6,7 @@
 class ProbeBudget:
     """Limit the target time that one instance spends on probes, by a token bucket.
 
-    The bucket starts empty and is shallow.
+    The bucket starts empty and holds at most `depth_ms`.
 
     Parameters
     ----------
--- a/packages/baobabring/baobabring/probing/_scheduler.py
+++ b/packages/baobabring/baobabring/probing/_scheduler.py
@@ -9,11 +9,12 @@
 from baobabring.probing._budget import ProbeBudget
 from baobabring.probing._rendezvous import ranked_probers
 
+# At least 2, since an idle target is probed only while two probes can be paid.
 BURST_PROBES = 2
 
 
 class ProbeReason(IntEnum):
-    """Name the reason why a target is probed; lower values are probed first."""
+    """Represent the reason for probing a target; lower values are probed first."""
 
     RETURNED = 0
     EJECTED = 1
@@ -99,7 +100,7 @@
 
     The first instance by rendezvous hashing probes a target; each following one
     takes over when the probe is overdue. The cost of one probe is reserved for
-    targets that are probed for another reason than being idle.
+    targets that are not idle.
 
     Parameters
     ----------
@@ -124,10 +125,12 @@
         self._live: tuple[str, ...] = ()
         self._last_due_check_at_s = 0.0
 
-    def set_instances(self, live_ids: Iterable[str], listed: int, now_s: float) -> None:
+    def set_instances(
+        self, live_ids: Iterable[str], listed_count: int, now_s: float
+    ) -> None:
         """Set the live instances and the length of the platform's list."""
         live = tuple(sorted({*live_ids, self.instance_id}))
-        self._budget.set_instances(max(len(live), listed), now_s)
+        self._budget.set_instances(max(len(live), listed_count), now_s)
         if live != self._live:
             self._live = live
             for state in self._states.values():
@@ -147,17 +150,17 @@
         if state is None or state.reason is reason:
             return
         state.reason = reason
-        state.due_at_s = now_s + self._interval_s(reason, first=True)
+        state.due_at_s = now_s + self._get_interval_s(reason, first=True)
 
     def record_traffic(self, target_id: str, now_s: float) -> None:
-        """Record an answer to a call, which shows the target's health."""
+        """Record a response to a call, which shows the target's health."""
         state = self._states.get(target_id)
         if state is None:
             return
         if state.reason is ProbeReason.RETURNED:
             state.reason = ProbeReason.IDLE
         if state.reason is not ProbeReason.EJECTED:
-            state.due_at_s = now_s + self._interval_s(state.reason)
+            state.due_at_s = now_s + self._get_interval_s(state.reason)
 
     def start_due_probes(self, now_s: float) -> list[str]:
         """Return the targets to probe now, and charge the cost of their probes."""
@@ -191,7 +194,7 @@
         return shared
 
     def apply_shared(self, shared: SharedProbe) -> None:
-        """Apply the result of a peer's probe in place of an own one."""
+        """Apply the result of a peer's probe, which replaces an own probe."""
         self.probe_totals.shared_probes += 1
         # A peer's clock that is ahead must not delay the next probe.
         probed_at_s = min(shared.probed_at_s, self._last_due_check_at_s)
@@ -203,16 +206,16 @@
             return
         if shared.healthy and state.reason is ProbeReason.RETURNED:
             state.reason = ProbeReason.IDLE
-        next_at_s = shared.probed_at_s + self._interval_s(state.reason)
+        next_at_s = shared.probed_at_s + self._get_interval_s(state.reason)
         state.due_at_s = max(state.due_at_s, next_at_s)
 
     def _get_due(self, now_s: float) -> list[tuple[str, _ProbeState]]:
-        ready = [
+        due = [
             (target_id, state)
             for target_id, state in self._states.items()
             if self._is_due(target_id, state, now_s)
         ]
-        return sorted(ready, key=lambda item: (item[1].reason, item[1].due_at_s))
+        return sorted(due, key=lambda item: (item[1].reason, item[1].due_at_s))
 
     def _is_due(self, target_id: str, state: _ProbeState, now_s: float) -> bool:
         overdue_s = now_s - state.due_at_s
@@ -228,9 +231,9 @@
         self.probe_totals.probes += 1
         self.probe_totals.spent_ms += self.settings.probe_cost_ms
         self._running_probes.add(target_id)
-        state.due_at_s = now_s + self._interval_s(state.reason)
+        state.due_at_s = now_s + self._get_interval_s(state.reason)
 
-    def _interval_s(self, reason: ProbeReason, first: bool = False) -> float:
+    def _get_interval_s(self, reason: ProbeReason, first: bool = False) -> float:
         if reason is ProbeReason.IDLE:
             return self.settings.idle_after_s
         return 0.0 if first else self.settings.urgent_interval_s
--- a/packages/baobabring/baobabring/program/_probe_task.py
+++ b/packages/baobabring/baobabring/program/_probe_task.py
@@ -57,13 +57,13 @@
         report = await self._request_report(target_id)
         now_s = self.clock.now_s()
         if report is not None:
-            self.balancer.report(target_id, report, now_s)
+            self.balancer.record_report(target_id, report, now_s)
         shared = self.scheduler.record_probe_end(target_id, report is not None, now_s)
         self.link.broadcast(shared)
 
     async def _request_report(self, target_id: str):
         try:
-            address = self.balancer.target(target_id).address
+            address = self.balancer.get_target(target_id).address
         except KeyError:
             return None
         return await self.client.probe(address)
--- a/packages/baobabring/baobabring/program/_state_exchange.py
+++ b/packages/baobabring/baobabring/program/_state_exchange.py
@@ -89,8 +89,8 @@
     def _on_request(self, request: StateRequest) -> None:
         reply = StateReply(
             self.membership.info.instance_id,
-            self.reader.replica.snapshot_payload(),
-            self.cold_start_guard.snapshot_payload(),
+            self.reader.replica.create_snapshot_payload(),
+            self.cold_start_guard.create_snapshot_payload(),
         )
         self.link.send(request.reply_address, reply)
 
@@ -100,5 +100,5 @@
             LOG.info(
                 "configuration loaded from peer", peer=reply.sender, revision=revision
             )
-        if self.cold_start_guard.load(reply.cold_starts):
+        if self.cold_start_guard.load_snapshot(reply.cold_starts):
             LOG.info("cold starts loaded from peer", peer=reply.sender)
--- a/packages/baobabring/baobabring/program/tests/test_recorded_bytes.py
+++ b/packages/baobabring/baobabring/program/tests/test_recorded_bytes.py
@@ -8,7 +8,7 @@
 import pytest
 
 from baobabring.balancing import ColdNotice, InFlightUpdate, TargetCount
-from baobabring.balancing._cold_start_fold import (
+from baobabring.balancing._cold_start_replica import (
     ColdStartSnapshot,
     ColdStartState,
     Lease,
@@ -18,7 +18,7 @@
     encode_records,
     encode_snapshot,
 )
-from baobabring.balancing._cold_start_fold import _decoder as cold_records_decoder
+from baobabring.balancing._cold_start_replica import _decoder as cold_records_decoder
 from baobabring.claims._records import (
     Claim,
     Release,
--- a/packages/baobabring/baobabring/publication/_reader.py
+++ b/packages/baobabring/baobabring/publication/_reader.py
@@ -121,7 +121,7 @@
     def load_from_peer(self, payload: bytes) -> bool:
         """Load a peer's snapshot if it is newer; return whether it was loaded."""
         before = self.configuration
-        loaded = self.replica.load(payload)
+        loaded = self.replica.load_snapshot(payload)
         if loaded:
             self._notify_progress()
             self._notify_listeners(before)
@@ -137,7 +137,7 @@
         self._postpone_snapshot()
         await self.log.append(
             CONFIGURATION_STREAM,
-            self.replica.snapshot_payload(),
+            self.replica.create_snapshot_payload(),
             now_s + SNAPSHOT_TIMEOUT_S,
         )
         return True
--- a/packages/baobabring/baobabring/publication/tests/fake_log.py
+++ b/packages/baobabring/baobabring/publication/tests/fake_log.py
@@ -29,7 +29,7 @@
 
 
 class Fault(Enum):
-    """Fault of one append.
+    """Represent the fault of one append.
 
     With REPLY_LOST the record is stored at once, with STORED_LATE only when the test
     calls `flush_delayed_appends`; the caller gets no reply in either case.
--- a/packages/baobabring/baobabring/publication/tests/test_histories.py
+++ b/packages/baobabring/baobabring/publication/tests/test_histories.py
@@ -128,7 +128,9 @@
             case "outage":
                 self.log.readable = detail
             case "snapshot" if not instance.reader.replica.needs_snapshot:
-                self.log.append_payload(instance.reader.replica.snapshot_payload())
+                self.log.append_payload(
+                    instance.reader.replica.create_snapshot_payload()
+                )
             case "expire":
                 self.log.expire_before(
                     (self.log.earliest_offset + len(self.log.records)) // 2
@@ -136,7 +138,9 @@
             case "restart":
                 self.instances[number] = self.create_instance(number)
             case "peer":
-                payload = self.instances[detail].reader.replica.snapshot_payload()
+                payload = self.instances[
+                    detail
+                ].reader.replica.create_snapshot_payload()
                 instance.reader.load_from_peer(payload)
         for _ in range(LOOP_ITERATIONS_PER_STEP):
             await asyncio.sleep(0)
@@ -147,7 +151,9 @@
         self.log.flush_delayed_appends()
         for _ in range(MAX_RECOVERY_ROUNDS):
             # Simulates an instance that has read every record and writes a snapshot.
-            self.log.append_payload(self.build_reference_replica().snapshot_payload())
+            self.log.append_payload(
+                self.build_reference_replica().create_snapshot_payload()
+            )
             for instance in self.instances:
                 await instance.reader.read_once()
             for _ in range(LOOP_ITERATIONS_PER_STEP):
@@ -172,7 +178,7 @@
             replica.apply(record)
         return replica
 
-    def check(self) -> None:
+    def check_outcomes(self) -> None:
         reference = self.build_reference_replica()
         for proposal in self.get_answerable_proposals():
             outcome = proposal.task.result()
@@ -191,7 +197,7 @@
     for kind, number, detail in steps:
         await simulation.run_step(kind, number, detail)
     await simulation.recover()
-    simulation.check()
+    simulation.check_outcomes()
     for proposal in simulation.proposals:
         proposal.task.cancel()
 
--- a/packages/baobabring/baobabring/publication/tests/test_reader.py
+++ b/packages/baobabring/baobabring/publication/tests/test_reader.py
@@ -66,7 +66,7 @@
     put_service(log, "menu", 0)
     peer, reader = make_reader(log), make_reader(log)
     await peer.read_once()
-    reader.load_from_peer(peer.replica.snapshot_payload())
+    reader.load_from_peer(peer.replica.create_snapshot_payload())
     log.records.clear()
     await reader.read_once()
     assert reader.confirmed_at_s is None
@@ -97,7 +97,7 @@
     log.readable = False
     starting = make_reader(log)
     assert not await starting.read_once()
-    assert starting.load_from_peer(peer.replica.snapshot_payload())
+    assert starting.load_from_peer(peer.replica.create_snapshot_payload())
     assert starting.configuration == peer.configuration
     log.readable = True
     put_service(log, "fees", 1)
@@ -111,7 +111,7 @@
     await peer.read_once()
     put_service(log, "fees", 1)
     await reader.read_once()
-    assert not reader.load_from_peer(peer.replica.snapshot_payload())
+    assert not reader.load_from_peer(peer.replica.create_snapshot_payload())
     assert reader.configuration.revision == 2
 
 
@@ -178,7 +178,7 @@
     change = DeleteService("menu")
     log.append_payload(encode_record(ChangeRecord("delete", 1, change)))
     await follower.read_once()
-    log.append_payload(follower.replica.snapshot_payload())
+    log.append_payload(follower.replica.create_snapshot_payload())
     log.expire_before(2)
     await cut_off.read_once()
     assert cut_off.configuration.services == {}
@@ -240,5 +240,5 @@
     put_service(log, "menu", 0)
     await reader.read_once()
     starting = make_reader(log)
-    starting.load_from_peer(reader.replica.snapshot_payload())
+    starting.load_from_peer(reader.replica.create_snapshot_payload())
     assert starting.has_configuration
--- a/packages/baobabring/baobabring/retries/_budget.py
+++ b/packages/baobabring/baobabring/retries/_budget.py
@@ -78,8 +78,8 @@
         if bucket is None:
             bucket = self._buckets[service_id] = _Bucket(1.0, now_s)
             return bucket
-        passed_s = max(0.0, now_s - bucket.refilled_at_s)
-        earned = bucket.tokens + passed_s * self.settings.min_retries_per_s
+        elapsed_s = max(0.0, now_s - bucket.refilled_at_s)
+        earned = bucket.tokens + elapsed_s * self.settings.min_retries_per_s
         bucket.tokens = min(self.settings.burst, earned)
         bucket.refilled_at_s = max(bucket.refilled_at_s, now_s)
         return bucket
--- a/packages/baobabring/baobabring/retries/_chain.py
+++ b/packages/baobabring/baobabring/retries/_chain.py
@@ -1,4 +1,4 @@
-"""Retries left to a chain of calls, which are sent along in a header.
+"""Retries left to a chain of calls, which each hop receives in a header.
 
 Each hop keeps a part of the retries that it received, and forwards the rest with its
 first attempt only. A chain with `n` retries therefore makes at most `n + 1` attempts
@@ -17,7 +17,7 @@
     text = header_value.strip()
     if not (text.isascii() and text.isdigit()):
         return 0
-    # A number with more digits than any limit isn't converted.
+    # A much longer number is not converted, since int() raises for very long ones.
     return limit if len(text) > len(str(limit)) + 4 else min(limit, int(text))
 
 
--- a/packages/baobabring/baobabring/retries/_hedging.py
+++ b/packages/baobabring/baobabring/retries/_hedging.py
@@ -6,8 +6,8 @@
 from baobabring.base import Registry
 
 MS_PER_S = 1000.0
-SAMPLES_KEPT = 256
-SAMPLES_NEEDED = 32
+MAX_SAMPLES = 256
+MIN_SAMPLES = 32
 SAMPLES_BETWEEN_SORTS = 16
 HEDGE_QUANTILE = 0.95
 
@@ -16,14 +16,14 @@
     """Choose the time of a hedged attempt."""
 
     @abstractmethod
-    def observe(self, service_id: str, first_byte_ms: float) -> None:
-        """Record the time of an attempt to the first byte of its answer."""
+    def record_latency(self, service_id: str, first_byte_ms: float) -> None:
+        """Record the time of an attempt to the first byte of its response."""
 
     @abstractmethod
-    def hedge_at_s(
+    def get_hedge_time_s(
         self, service_id: str, idempotent: bool, started_at_s: float
     ) -> float | None:
-        """Return when to hedge an attempt that started then, or None for never."""
+        """Return when to hedge an attempt that started at a time, or None for never."""
 
 
 HEDGE_POLICIES: Registry[HedgePolicy] = Registry("hedge policy")
@@ -33,10 +33,10 @@
 class NeverHedge(HedgePolicy):
     """Never hedge."""
 
-    def observe(self, service_id: str, first_byte_ms: float) -> None:
+    def record_latency(self, service_id: str, first_byte_ms: float) -> None:
         """Ignore the latency."""
 
-    def hedge_at_s(
+    def get_hedge_time_s(
         self, service_id: str, idempotent: bool, started_at_s: float
     ) -> float | None:
         """Return None."""
@@ -47,7 +47,7 @@
     """Store the latest latencies of a service and a quantile of them."""
 
     def __init__(self) -> None:
-        self._samples: deque[float] = deque(maxlen=SAMPLES_KEPT)
+        self._samples: deque[float] = deque(maxlen=MAX_SAMPLES)
         self._new_samples = 0
         self.quantile_ms: float | None = None
 
@@ -55,7 +55,7 @@
         """Add a latency, and update the quantile once enough new ones were added."""
         self._samples.append(latency_ms)
         self._new_samples += 1
-        if len(self._samples) < SAMPLES_NEEDED:
+        if len(self._samples) < MIN_SAMPLES:
             return
         if self.quantile_ms is None or self._new_samples >= SAMPLES_BETWEEN_SORTS:
             self._new_samples = 0
@@ -70,14 +70,14 @@
     def __init__(self) -> None:
         self._services: dict[str, _LatencySamples] = {}
 
-    def observe(self, service_id: str, first_byte_ms: float) -> None:
-        """Record the time of an attempt to the first byte of its answer."""
+    def record_latency(self, service_id: str, first_byte_ms: float) -> None:
+        """Record the time of an attempt to the first byte of its response."""
         samples = self._services.get(service_id)
         if samples is None:
             samples = self._services[service_id] = _LatencySamples()
         samples.add(first_byte_ms)
 
-    def hedge_at_s(
+    def get_hedge_time_s(
         self, service_id: str, idempotent: bool, started_at_s: float
     ) -> float | None:
         """Return the start plus the p95 latency, or None while that is unknown."""
--- a/packages/baobabring/baobabring/settings/_models.py
+++ b/packages/baobabring/baobabring/settings/_models.py
@@ -72,7 +72,7 @@
 
 
 class BalancingSection(Section):
-    """Choose the policy that picks targets and set its limits."""
+    """Choose the policy that chooses targets and set its limits."""
 
     policy: str = "shared"
     share_interval_ms: Positive = 5
