--- a/packages/baobabstandins/baobabstandins/__init__.py
+++ b/packages/baobabstandins/baobabstandins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform and for targets; no shipped package imports them."""
+"""Stand-ins for the platform and for targets. Released packages don't import them."""
--- a/packages/baobabstandins/baobabstandins/_faults.py
+++ b/packages/baobabstandins/baobabstandins/_faults.py
@@ -1,23 +1,23 @@
-"""Change typed fault settings from JSON."""
+"""Update typed fault settings from JSON."""
 
 from typing import TypeVar
 
 import msgspec
 
-S = TypeVar("S", bound=msgspec.Struct)
+FaultsT = TypeVar("FaultsT", bound=msgspec.Struct)
 
 
-def merge_faults(current: S, change: bytes) -> S:
-    """Return the faults with the fields of a JSON object changed.
+def merge_faults(current: FaultsT, changes_json: bytes) -> FaultsT:
+    """Return the faults updated with the fields of a JSON object.
 
     Raises
     ------
     msgspec.ValidationError
-        If a field is unknown or of a wrong type.
+        If a field is unknown or has the wrong type.
     """
-    given = msgspec.json.decode(change, type=dict[str, object])
-    known = msgspec.to_builtins(current)
-    for name in given:
-        if name not in known:
+    changes = msgspec.json.decode(changes_json, type=dict[str, object])
+    fields = msgspec.to_builtins(current)
+    for name in changes:
+        if name not in fields:
             raise msgspec.ValidationError(f"unknown fault {name!r}")
-    return msgspec.convert(known | given, type=type(current))
+    return msgspec.convert(fields | changes, type=type(current))
--- a/packages/baobabstandins/baobabstandins/_serving.py
+++ b/packages/baobabstandins/baobabstandins/_serving.py
@@ -1,4 +1,4 @@
-"""Serve aiohttp applications on loopback addresses until a signal comes."""
+"""Serve aiohttp applications on loopback addresses until a signal arrives."""
 
 import asyncio
 import signal
@@ -6,17 +6,17 @@
 from aiohttp import web
 
 SHUTDOWN_TIMEOUT_S = 0.2
-BODY_LIMIT_BYTES = 16 * 1024 * 1024
+MAX_BODY_BYTES = 16 * 1024 * 1024
 
 
 async def start_site(
-    app: web.Application, host: str, port: int, *, cancel_when_caller_leaves: bool
+    app: web.Application, host: str, port: int, *, cancel_on_disconnect: bool
 ) -> tuple[web.AppRunner, int]:
-    """Start serving; return the runner and the port that was bound."""
+    """Start serving and return the runner and the bound port."""
     runner = web.AppRunner(
         app,
         access_log=None,
-        handler_cancellation=cancel_when_caller_leaves,
+        handler_cancellation=cancel_on_disconnect,
         shutdown_timeout=SHUTDOWN_TIMEOUT_S,
     )
     await runner.setup()
@@ -25,17 +25,17 @@
     return runner, runner.addresses[0][1]
 
 
-async def wait_for_signal() -> None:
-    """Wait until the process is told to end."""
-    ended = asyncio.Event()
+async def wait_for_stop_signal() -> None:
+    """Wait for SIGTERM or SIGINT."""
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ended.set)
-    await ended.wait()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
+    await stop_requested.wait()
 
 
-def close_without_answer(request: web.Request) -> web.Response:
-    """Close the connection of a request; nothing of the answer goes out."""
+def close_without_response(request: web.Request) -> web.Response:
+    """Abort the connection of a request without sending a response."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response()
--- a/packages/baobabstandins/baobabstandins/platform/__main__.py
+++ b/packages/baobabstandins/baobabstandins/platform/__main__.py
@@ -4,7 +4,7 @@
 
 from absl import app, flags
 
-from baobabstandins._serving import start_site, wait_for_signal
+from baobabstandins._serving import start_site, wait_for_stop_signal
 from baobabstandins.platform import PlatformFaults, make_platform
 
 FLAGS = flags.FLAGS
@@ -29,10 +29,10 @@
     )
     platform = make_platform(faults, FLAGS.list_lag_ms, FLAGS.list_expiry_ms)
     runner, port = await start_site(
-        platform.make_app(), FLAGS.host, FLAGS.port, cancel_when_caller_leaves=False
+        platform.make_app(), FLAGS.host, FLAGS.port, cancel_on_disconnect=False
     )
     print(f"listening {FLAGS.host}:{port}", flush=True)
-    await wait_for_signal()
+    await wait_for_stop_signal()
     await runner.cleanup()
 
 
--- a/packages/baobabstandins/baobabstandins/platform/_server.py
+++ b/packages/baobabstandins/baobabstandins/platform/_server.py
@@ -9,7 +9,7 @@
 from aiohttp.typedefs import Handler
 
 from baobabstandins._faults import merge_faults
-from baobabstandins._serving import BODY_LIMIT_BYTES, close_without_answer
+from baobabstandins._serving import MAX_BODY_BYTES, close_without_response
 from baobabstandins.platform._faults import PlatformFaults
 from baobabstandins.platform._instances import InstanceEntry, LaggedInstanceList
 from baobabstandins.platform._log import Log, Record, TokenBucket
@@ -62,7 +62,7 @@
     def make_app(self) -> web.Application:
         """Return the aiohttp application."""
         app = web.Application(
-            middlewares=[self._drop_cut_requests], client_max_size=BODY_LIMIT_BYTES
+            middlewares=[self._drop_cut_requests], client_max_size=MAX_BODY_BYTES
         )
         app.router.add_post("/log/{stream}", self._append)
         app.router.add_get("/log/{stream}", self._read)
@@ -77,10 +77,10 @@
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
         if self._is_cut(request):
-            return close_without_answer(request)
+            return close_without_response(request)
         response = await handler(request)
         if self._is_cut(request):
-            return close_without_answer(request)
+            return close_without_response(request)
         return response
 
     def _is_cut(self, request: web.Request) -> bool:
@@ -98,7 +98,7 @@
         self._notify_readers()
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
-            return close_without_answer(request)
+            return close_without_response(request)
         return _json_response(_AppendReply(offset), status=201)
 
     async def _read(self, request: web.Request) -> web.Response:
--- a/packages/baobabstandins/baobabstandins/platform/tests/test_server.py
+++ b/packages/baobabstandins/baobabstandins/platform/tests/test_server.py
@@ -13,7 +13,7 @@
 async def platform():
     server = make_platform(PlatformFaults(), list_lag_ms=0, list_expiry_ms=5000)
     runner, port = await start_site(
-        server.make_app(), "127.0.0.1", 0, cancel_when_caller_leaves=False
+        server.make_app(), "127.0.0.1", 0, cancel_on_disconnect=False
     )
     async with aiohttp.ClientSession(f"http://127.0.0.1:{port}") as session:
         yield session
--- a/packages/baobabstandins/baobabstandins/scenarios/__main__.py
+++ b/packages/baobabstandins/baobabstandins/scenarios/__main__.py
@@ -8,21 +8,23 @@
 
 from baobabstandins.scenarios import (
     Scenario,
+    generate_scenario,
     parse_scenario,
-    random_scenario,
     run_scenario,
 )
 
 FLAGS = flags.FLAGS
 flags.DEFINE_integer("first_seed", 1, "seed of the first random scenario")
-flags.DEFINE_integer("random", 0, "how many random scenarios to run")
+flags.DEFINE_integer("random", 0, "number of random scenarios to run")
 
 
 def main(argv: list[str]) -> int:
     """Run all scenarios; return 1 if any has findings."""
     last_seed = FLAGS.first_seed + FLAGS.random
     scenarios = [parse_scenario(Path(name).read_text()) for name in argv[1:]]
-    scenarios += [random_scenario(seed) for seed in range(FLAGS.first_seed, last_seed)]
+    scenarios += [
+        generate_scenario(seed) for seed in range(FLAGS.first_seed, last_seed)
+    ]
     clean = [_run(scenario) for scenario in scenarios]
     return 0 if all(clean) else 1
 
--- a/packages/baobabstandins/baobabstandins/scenarios/_expectations.py
+++ b/packages/baobabstandins/baobabstandins/scenarios/_expectations.py
@@ -1,77 +1,87 @@
-"""Check the expectations of a scenario against what a run recorded."""
+"""Check the expectations of a scenario against the records of a run."""
 
 from functools import singledispatch
 
 from baobabstandins import checker
 from baobabstandins.checker import Finding, TargetRecord
-from baobabstandins.scenarios import _promises as promises
-from baobabstandins.scenarios._run import Absence, Run
+from baobabstandins.scenarios import _expectation_types as expectation_types
+from baobabstandins.scenarios._run import RemovalPeriod, ScenarioRun
 from baobabstandins.target import JournalEntry
 
 
 @singledispatch
-def check(expectation: object, run: Run) -> list[Finding]:
-    """Return what contradicts one expectation."""
-    raise TypeError(f"no such expectation: {expectation!r}")
+def check_expectation(expectation: object, run: ScenarioRun) -> list[Finding]:
+    """Return violations of one expectation."""
+    raise TypeError(f"unknown expectation: {expectation!r}")
 
 
-@check.register
-def _(expectation: promises.AtMostOnce, run: Run) -> list[Finding]:
-    return checker.check_runs_at_most_once(_entries(run))
+@check_expectation.register
+def _(expectation: expectation_types.AtMostOnce, run: ScenarioRun) -> list[Finding]:
+    return checker.check_runs_at_most_once(_get_entries(run))
 
 
-@check.register
-def _(expectation: promises.NotRunIsTrue, run: Run) -> list[Finding]:
-    return checker.check_not_run_outcomes(run.caller.history, _entries(run))
+@check_expectation.register
+def _(
+    expectation: expectation_types.NotRunOutcomesHold, run: ScenarioRun
+) -> list[Finding]:
+    return checker.check_not_run_outcomes(run.caller.history, _get_entries(run))
 
 
-@check.register
-def _(expectation: promises.OwnWholeAnswers, run: Run) -> list[Finding]:
+@check_expectation.register
+def _(
+    expectation: expectation_types.ResponseIntegrity, run: ScenarioRun
+) -> list[Finding]:
     return checker.check_response_integrity(run.caller.history)
 
 
-@check.register
-def _(expectation: promises.EveryCallStated, run: Run) -> list[Finding]:
+@check_expectation.register
+def _(
+    expectation: expectation_types.EveryCallHasOutcome, run: ScenarioRun
+) -> list[Finding]:
     return checker.check_every_call_has_outcome(run.caller.history)
 
 
-@check.register
-def _(expectation: promises.NoCallCutOff, run: Run) -> list[Finding]:
+@check_expectation.register
+def _(expectation: expectation_types.NoCallLost, run: ScenarioRun) -> list[Finding]:
     disturbed = (m.instance_id for m in run.fleet.instances if m.disturbed)
     return checker.check_no_call_lost(run.caller.history, frozenset(disturbed))
 
 
-@check.register
-def _(expectation: promises.ShareCompleted, run: Run) -> list[Finding]:
-    share = expectation.least_percent / 100
+@check_expectation.register
+def _(expectation: expectation_types.ShareCompleted, run: ScenarioRun) -> list[Finding]:
+    share = expectation.min_percent / 100
     return checker.check_share_completed(run.caller.history, share)
 
 
-@check.register
-def _(expectation: promises.NoWorkInZone, run: Run) -> list[Finding]:
+@check_expectation.register
+def _(
+    expectation: expectation_types.NoNewCallsInZone, run: ScenarioRun
+) -> list[Finding]:
     records = [record for record in run.records if record.zone == expectation.zone]
-    absence = run.zones[expectation.zone]
-    return _check_absence(records, absence, expectation.grace_s)
+    removal = run.removed_zones[expectation.zone]
+    return _check_removal(records, removal, expectation.grace_s)
 
 
-@check.register
-def _(expectation: promises.NoWorkAtTarget, run: Run) -> list[Finding]:
-    absence = run.targets_left[expectation.target_id]
-    record = _record(run, expectation.target_id)
-    return _check_absence([record], absence, expectation.grace_s)
+@check_expectation.register
+def _(
+    expectation: expectation_types.NoNewCallsAtTarget, run: ScenarioRun
+) -> list[Finding]:
+    removal = run.removed_targets[expectation.target_id]
+    record = _get_record(run, expectation.target_id)
+    return _check_removal([record], removal, expectation.grace_s)
 
 
-@check.register
-def _(expectation: promises.WorkAtTarget, run: Run) -> list[Finding]:
-    entries = _record(run, expectation.target_id).entries
+@check_expectation.register
+def _(expectation: expectation_types.CallsAtTarget, run: ScenarioRun) -> list[Finding]:
+    entries = _get_record(run, expectation.target_id).entries
     if any(entry.started_at_s > run.last_event_at_s for entry in entries):
         return []
-    problem = "no work after the last event"
+    problem = "no calls after the last event"
     return [Finding("work at target", expectation.target_id, problem)]
 
 
-@check.register
-def _(expectation: promises.ColdLimitKept, run: Run) -> list[Finding]:
+@check_expectation.register
+def _(expectation: expectation_types.ColdLimitKept, run: ScenarioRun) -> list[Finding]:
     findings = []
     for record in run.records:
         turned_cold_at_s = run.turned_cold_at_s.get(record.target_id, 0.0)
@@ -81,16 +91,18 @@
     return findings
 
 
-@check.register
-def _(expectation: promises.ProbeBudget, run: Run) -> list[Finding]:
+@check_expectation.register
+def _(expectation: expectation_types.ProbeBudget, run: ScenarioRun) -> list[Finding]:
     duration_s = run.ended_at_s - run.published_at_s
     return checker.check_probe_budget(
         run.records, duration_s, expectation.budget_ms_per_s
     )
 
 
-@check.register
-def _(expectation: promises.ConfigurationInForce, run: Run) -> list[Finding]:
+@check_expectation.register
+def _(
+    expectation: expectation_types.ConfigurationApplied, run: ScenarioRun
+) -> list[Finding]:
     seen_configurations = run.operator.seen_configurations
     accepted_changes = run.operator.accepted_changes
     return [
@@ -102,18 +114,20 @@
     ]
 
 
-@check.register
-def _(expectation: promises.ReadyWithin, run: Run) -> list[Finding]:
-    member = run.instance(expectation.number)
-    took_s = member.ready_at_s - member.started_at_s
-    if 0 < took_s <= expectation.limit_s:
+@check_expectation.register
+def _(expectation: expectation_types.ReadyWithin, run: ScenarioRun) -> list[Finding]:
+    member = run.get_instance(expectation.number)
+    startup_s = member.ready_at_s - member.started_at_s
+    if 0 < startup_s <= expectation.limit_s:
         return []
-    problem = f"ready after {took_s:.1f} s; the limit is {expectation.limit_s} s"
+    problem = f"ready after {startup_s:.1f} s; the limit is {expectation.limit_s} s"
     return [Finding("ready within", member.instance_id, problem)]
 
 
-@check.register
-def _(expectation: promises.InstancesEndWell, run: Run) -> list[Finding]:
+@check_expectation.register
+def _(
+    expectation: expectation_types.InstancesExitCleanly, run: ScenarioRun
+) -> list[Finding]:
     codes = {m.instance_id: m.child.process.returncode for m in run.terminated}
     return [
         Finding("instances end well", instance_id, f"exit code {code}")
@@ -122,20 +136,20 @@
     ]
 
 
-def _check_absence(
-    records: list[TargetRecord], absence: Absence, grace_s: float
+def _check_removal(
+    records: list[TargetRecord], removal: RemovalPeriod, grace_s: float
 ) -> list[Finding]:
     findings = []
     for record in records:
         findings += checker.check_no_new_calls(
-            record, absence.left_at_s, grace_s, absence.back_at_s
+            record, removal.removed_at_s, grace_s, removal.returned_at_s
         )
     return findings
 
 
-def _entries(run: Run) -> list[JournalEntry]:
+def _get_entries(run: ScenarioRun) -> list[JournalEntry]:
     return [entry for record in run.records for entry in record.entries]
 
 
-def _record(run: Run, target_id: str) -> TargetRecord:
+def _get_record(run: ScenarioRun, target_id: str) -> TargetRecord:
     return next(record for record in run.records if record.target_id == target_id)
--- a/packages/baobabstandins/baobabstandins/scenarios/_generator.py
+++ b/packages/baobabstandins/baobabstandins/scenarios/_generator.py
@@ -1,96 +1,106 @@
-"""Generate scenarios in which faults drawn at random come together."""
+"""Generate scenarios with random overlapping faults."""
 
 import random
 
 from baobabstandins.fleet import PlatformOptions, TargetOptions
+from baobabstandins.scenarios import _expectation_types as expectation_types
 from baobabstandins.scenarios import _model as model
-from baobabstandins.scenarios import _promises as promises
 
-INSTANCES = 4
-TARGETS = 4
-LOAD_S = 5.0
-FAULTS = 8
-FAULT_S = (0.3, 1.5)
-ZONE_OUT = "hakodate"
-ZONE_OUT_AT_S = (0.2, 1.2)
+INSTANCE_COUNT = 4
+TARGET_COUNT = 4
+LOAD_DURATION_S = 5.0
+FAULT_COUNT = 8
+FAULT_DURATION_RANGE_S = (0.3, 1.5)
+REMOVED_ZONE = "hakodate"
+ZONE_REMOVAL_RANGE_S = (0.2, 1.2)
 EXPECTATIONS = (
-    promises.AtMostOnce(),
-    promises.NotRunIsTrue(),
-    promises.OwnWholeAnswers(),
-    promises.EveryCallStated(),
-    promises.NoWorkInZone(ZONE_OUT, grace_s=3.0),
-    promises.ConfigurationInForce(grace_s=4.0),
-    promises.InstancesEndWell(),
-    promises.ShareCompleted(least_percent=20.0),
+    expectation_types.AtMostOnce(),
+    expectation_types.NotRunOutcomesHold(),
+    expectation_types.ResponseIntegrity(),
+    expectation_types.EveryCallHasOutcome(),
+    expectation_types.NoNewCallsInZone(REMOVED_ZONE, grace_s=3.0),
+    expectation_types.ConfigurationApplied(grace_s=4.0),
+    expectation_types.InstancesExitCleanly(),
+    expectation_types.ShareCompleted(min_percent=20.0),
 )
 
 
-def random_scenario(seed: int) -> model.Scenario:
-    """Return the scenario of a seed; the same seed gives the same scenario."""
+def generate_scenario(seed: int) -> model.Scenario:
+    """Return the scenario of a seed, always the same one for a seed."""
     rng = random.Random(seed)
     return model.Scenario(
         name=f"random faults {seed}",
         seed=seed,
         settings=(model.Setting("callers", "leave_lag_ms", "600"),),
-        setup=_setup(),
+        setup=_create_setup(),
         loads=(
-            model.Load("orders", 25.0, LOAD_S, 4, 20.0, 30.0, deadline_ms=1500),
-            model.Load("menu", 25.0, LOAD_S, 3, 20.0, deadline_ms=1500),
+            model.Load(
+                "orders", 25.0, LOAD_DURATION_S, 4, 20.0, 30.0, deadline_ms=1500
+            ),
+            model.Load("menu", 25.0, LOAD_DURATION_S, 3, 20.0, deadline_ms=1500),
         ),
-        events=_events(rng),
+        events=_draw_events(rng),
         expectations=EXPECTATIONS,
     )
 
 
-def _setup() -> tuple[object, ...]:
+def _create_setup() -> tuple[object, ...]:
     return (
         model.StartPlatform(PlatformOptions()),
-        model.StartTargets("orders", TARGETS, "sapporo", TargetOptions()),
-        model.StartTargets("menu", TARGETS // 2, "sapporo", TargetOptions()),
-        model.StartTargets("menu", TARGETS // 2, ZONE_OUT, TargetOptions()),
-        model.StartInstances(INSTANCES),
+        model.StartTargets("orders", TARGET_COUNT, "sapporo", TargetOptions()),
+        model.StartTargets("menu", TARGET_COUNT // 2, "sapporo", TargetOptions()),
+        model.StartTargets("menu", TARGET_COUNT // 2, REMOVED_ZONE, TargetOptions()),
+        model.StartInstances(INSTANCE_COUNT),
         model.PublishService("orders", "/orders", "required"),
         model.PublishService("menu", "/menu", "none"),
     )
 
 
-def _events(rng: random.Random) -> tuple[model.Event, ...]:
-    instances = [_instance_fault(rng, number) for number in (1, 2)]
-    others = [_fault(rng) for _ in range(FAULTS)]
-    actions = [*instances, *others, model.StartInstances(1)]
-    zone_out = model.Event(rng.uniform(*ZONE_OUT_AT_S), model.SetZone(ZONE_OUT, "out"))
+def _draw_events(rng: random.Random) -> tuple[model.Event, ...]:
+    instance_faults = [_draw_instance_fault(rng, number) for number in (1, 2)]
+    other_faults = [_draw_fault(rng) for _ in range(FAULT_COUNT)]
+    actions = [*instance_faults, *other_faults, model.StartInstances(1)]
+    zone_removal = model.Event(
+        rng.uniform(*ZONE_REMOVAL_RANGE_S), model.SetZone(REMOVED_ZONE, "out")
+    )
     return (
-        zone_out,
-        *(model.Event(rng.uniform(0.2, LOAD_S - 1), action) for action in actions),
+        zone_removal,
+        *(
+            model.Event(rng.uniform(0.2, LOAD_DURATION_S - 1), action)
+            for action in actions
+        ),
     )
 
 
-def _instance_fault(rng: random.Random, number: int) -> object:
-    """Draw what happens to an instance; the instances 3 and 4 stay."""
+def _draw_instance_fault(rng: random.Random, number: int) -> object:
+    """Draw a fault of an instance that may end it.
+
+    Only instances 1 and 2 get such faults, so that 3 and 4 keep running.
+    """
     choices = (
         model.KillInstance(number),
         model.TerminateInstance(number),
-        model.PauseInstance(number, rng.uniform(*FAULT_S)),
-        model.CutInstance(number, rng.uniform(*FAULT_S)),
+        model.PauseInstance(number, rng.uniform(*FAULT_DURATION_RANGE_S)),
+        model.CutInstance(number, rng.uniform(*FAULT_DURATION_RANGE_S)),
     )
     return rng.choice(choices)
 
 
-def _fault(rng: random.Random) -> object:
-    for_s = rng.uniform(*FAULT_S)
+def _draw_fault(rng: random.Random) -> object:
+    for_s = rng.uniform(*FAULT_DURATION_RANGE_S)
     service = rng.choice(("orders", "menu"))
-    target_id = f"{service}-{rng.randint(1, TARGETS)}"
+    target_id = f"{service}-{rng.randint(1, TARGET_COUNT)}"
     choices = (
-        model.LoseAnswers(rng.randint(1, 10)),
-        model.Outage(for_s),
+        model.LoseAppendResponses(rng.randint(1, 10)),
+        model.LogOutage(for_s),
         model.SlowPlatform(rng.uniform(0.05, 0.5), for_s),
         model.FreezeList(for_s),
         model.PauseInstance(rng.randint(3, 4), for_s),
         model.FailFast(target_id, for_s),
         model.SlowTarget(target_id, rng.uniform(2.0, 20.0), for_s),
         model.ShedAll(target_id, for_s),
-        model.Lie(target_id, for_s),
-        model.GoSilent(target_id),
+        model.ReportNoLoad(target_id, for_s),
+        model.SilenceConnections(target_id),
         model.ResetAfterRun(target_id, rng.randint(1, 5)),
         model.CloseBeforeRun(target_id, rng.randint(1, 5)),
         model.TurnCold(target_id),
--- a/packages/baobabstandins/baobabstandins/scenarios/_model.py
+++ b/packages/baobabstandins/baobabstandins/scenarios/_model.py
@@ -1,4 +1,4 @@
-"""Typed form of a scenario; durations are in s unless the name says otherwise."""
+"""Model of the statements of a scenario."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """Set one key of every instance's settings."""
+    """Set one key in the settings of all instances."""
 
     section: str
     key: str
@@ -53,14 +53,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Send calls to a service at an even rate."""
+    """Send calls to a service at a constant rate."""
 
     service_id: str
     rate_per_s: float
     duration_s: float
     repeats: int = 0
-    leaving_percent: float = 0.0
-    twice_percent: float = 0.0
+    disconnect_percent: float = 0.0
+    duplicate_percent: float = 0.0
     tenant: str = "default"
     deadline_ms: int = 3000
     key_sent: bool = True
@@ -68,14 +68,14 @@
 
 @dataclass(frozen=True, slots=True)
 class KillInstance:
-    """Kill the instance of that number; the first is 1."""
+    """Kill an instance; numbers start at 1."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class TerminateInstance:
-    """Tell an instance to shut down."""
+    """Send SIGTERM to an instance."""
 
     number: int
 
@@ -90,28 +90,28 @@
 
 @dataclass(frozen=True, slots=True)
 class CutInstance:
-    """Cut an instance off from the platform for a while."""
+    """Drop the requests of an instance to the platform for a while."""
 
     number: int
     for_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class LoseAnswers:
-    """Lose the answers to the next appends."""
+class LoseAppendResponses:
+    """Store the next appends to the log without responding to them."""
 
     count: int
 
 
 @dataclass(frozen=True, slots=True)
-class KeepRecords:
-    """Set how long the log keeps records from now on."""
+class SetRetention:
+    """Set the retention of the log."""
 
     for_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class Outage:
+class LogOutage:
     """Make the log unavailable for a while."""
 
     for_s: float
@@ -119,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowPlatform:
-    """Delay the log for a while."""
+    """Delay the responses of the log for a while."""
 
     delay_s: float
     for_s: float
@@ -127,22 +127,22 @@
 
 @dataclass(frozen=True, slots=True)
 class FreezeList:
-    """Freeze the list of instances for a while."""
+    """Stop updating the list of instances for a while."""
 
     for_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class SetZone:
-    """Take a zone out or in."""
+    """Take a zone out of service or back in."""
 
     zone: str
     state: str
 
 
 @dataclass(frozen=True, slots=True)
-class RaceZone:
-    """Take a zone out or in through all instances at once."""
+class SetZoneConcurrently:
+    """Publish a zone state through all instances at the same time."""
 
     zone: str
     state: str
@@ -157,14 +157,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainTarget:
-    """Publish that a target drains."""
+    """Publish that a target is draining."""
 
     target_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class FailFast:
-    """Make a target answer 500 at once for a while."""
+    """Make a target respond with 500 immediately for a while."""
 
     target_id: str
     for_s: float
@@ -188,7 +188,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lie:
+class ReportNoLoad:
     """Make a target report no load for a while."""
 
     target_id: str
@@ -196,15 +196,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GoSilent:
-    """Make the open connections of a target silent for good."""
+class SilenceConnections:
+    """Stop responding on the open connections of a target."""
 
     target_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ResetAfterRun:
-    """Make a target break the next answers off in the middle."""
+    """Make a target break off the next responses in the middle."""
 
     target_id: str
     count: int
@@ -220,14 +220,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TurnCold:
-    """Put a target into cold start again."""
+    """Restart the cold start of a target."""
 
     target_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """Do something at a time after the start of the load."""
+    """Represent an action and its time since the start of the load."""
 
     at_s: float
     action: object
@@ -235,7 +235,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """Hold a whole scenario."""
+    """Represent a whole scenario."""
 
     name: str
     seed: int
@@ -246,4 +246,4 @@
     expectations: tuple[object, ...]
 
 
-SETUP = (StartPlatform, StartTargets, StartInstances, PublishService)
+SETUP_TYPES = (StartPlatform, StartTargets, StartInstances, PublishService)
--- a/packages/baobabstandins/baobabstandins/scenarios/_parser.py
+++ b/packages/baobabstandins/baobabstandins/scenarios/_parser.py
@@ -6,10 +6,10 @@
 from lark import Lark, Transformer, v_args
 
 from baobabstandins.fleet import PlatformOptions, TargetOptions
+from baobabstandins.scenarios import _expectation_types as expectation_types
 from baobabstandins.scenarios import _model as model
-from baobabstandins.scenarios import _promises as promises
-from baobabstandins.scenarios._model import SETUP
-from baobabstandins.scenarios._promises import EXPECTATIONS
+from baobabstandins.scenarios._expectation_types import EXPECTATION_TYPES
+from baobabstandins.scenarios._model import SETUP_TYPES
 
 MS_PER_S = 1000
 
@@ -20,9 +20,9 @@
     Raises
     ------
     lark.exceptions.UnexpectedInput
-        If the text does not follow the grammar; it tells line and column.
+        If the text does not follow the grammar. The error has line and column.
     """
-    return _ToModel().transform(_PARSER.parse(text))
+    return _ModelBuilder().transform(_PARSER.parse(text))
 
 
 def _make_parser() -> Lark:
@@ -39,8 +39,8 @@
 
 
 @v_args(inline=True)
-class _ToModel(Transformer):
-    """Turn the tree of a scenario into its typed form."""
+class _ModelBuilder(Transformer):
+    """Build the model of a scenario from its parse tree."""
 
     INT = int
     NUMBER = float
@@ -59,11 +59,11 @@
         return model.Scenario(
             name=name,
             seed=seed,
-            settings=_only(statements, model.Setting),
-            setup=_only(statements, SETUP),
-            loads=_only(statements, model.Load),
-            events=_only(statements, model.Event),
-            expectations=_only(statements, EXPECTATIONS),
+            settings=_select(statements, model.Setting),
+            setup=_select(statements, SETUP_TYPES),
+            loads=_select(statements, model.Load),
+            events=_select(statements, model.Event),
+            expectations=_select(statements, EXPECTATION_TYPES),
         )
 
     def title(self, name, seed):
@@ -76,8 +76,8 @@
         return model.StartPlatform(replace(PlatformOptions(), **dict(options)))
 
     def start_targets(self, service_id, count, zone, *options):
-        chosen = replace(TargetOptions(), **dict(options))
-        return model.StartTargets(service_id, count, zone, chosen)
+        target_options = replace(TargetOptions(), **dict(options))
+        return model.StartTargets(service_id, count, zone, target_options)
 
     def start_instances(self, count, zone):
         return model.StartInstances(count, zone or model.DEFAULT_ZONE)
@@ -119,10 +119,10 @@
         return "repeats", count
 
     def leaving(self, percent):
-        return "leaving_percent", percent
+        return "disconnect_percent", percent
 
     def twice(self, percent):
-        return "twice_percent", percent
+        return "duplicate_percent", percent
 
     def without_key(self):
         return "key_sent", False
@@ -139,40 +139,40 @@
     terminate_instance = model.TerminateInstance
     pause_instance = model.PauseInstance
     cut_instance = model.CutInstance
-    lose_answers = model.LoseAnswers
-    keep_records = model.KeepRecords
-    outage = model.Outage
+    lose_answers = model.LoseAppendResponses
+    keep_records = model.SetRetention
+    outage = model.LogOutage
     slow_platform = model.SlowPlatform
     freeze_list = model.FreezeList
     set_zone = model.SetZone
-    race_zone = model.RaceZone
+    race_zone = model.SetZoneConcurrently
     remove_target = model.RemoveTarget
     drain_target = model.DrainTarget
     fail_fast = model.FailFast
     slow_target = model.SlowTarget
     shed_all = model.ShedAll
-    lie = model.Lie
-    go_silent = model.GoSilent
+    lie = model.ReportNoLoad
+    go_silent = model.SilenceConnections
     reset_after_run = model.ResetAfterRun
     close_before_run = model.CloseBeforeRun
     turn_cold = model.TurnCold
 
     expectation = _identity
-    at_most_once = promises.AtMostOnce
-    not_run_is_true = promises.NotRunIsTrue
-    own_whole_answers = promises.OwnWholeAnswers
-    every_call_stated = promises.EveryCallStated
-    no_call_cut_off = promises.NoCallCutOff
-    share_completed = promises.ShareCompleted
-    no_work_in_zone = promises.NoWorkInZone
-    no_work_at_target = promises.NoWorkAtTarget
-    work_at_target = promises.WorkAtTarget
-    cold_limit_kept = promises.ColdLimitKept
-    probe_budget = promises.ProbeBudget
-    configuration_in_force = promises.ConfigurationInForce
-    ready_within = promises.ReadyWithin
-    instances_end_well = promises.InstancesEndWell
-
-
-def _only(statements, kind):
+    at_most_once = expectation_types.AtMostOnce
+    not_run_is_true = expectation_types.NotRunOutcomesHold
+    own_whole_answers = expectation_types.ResponseIntegrity
+    every_call_stated = expectation_types.EveryCallHasOutcome
+    no_call_cut_off = expectation_types.NoCallLost
+    share_completed = expectation_types.ShareCompleted
+    no_work_in_zone = expectation_types.NoNewCallsInZone
+    no_work_at_target = expectation_types.NoNewCallsAtTarget
+    work_at_target = expectation_types.CallsAtTarget
+    cold_limit_kept = expectation_types.ColdLimitKept
+    probe_budget = expectation_types.ProbeBudget
+    configuration_in_force = expectation_types.ConfigurationApplied
+    ready_within = expectation_types.ReadyWithin
+    instances_end_well = expectation_types.InstancesExitCleanly
+
+
+def _select(statements, kind):
     return tuple(statement for statement in statements if isinstance(statement, kind))
--- a/packages/baobabstandins/baobabstandins/scenarios/_run.py
+++ b/packages/baobabstandins/baobabstandins/scenarios/_run.py
@@ -7,20 +7,20 @@
 from baobabstandins.fleet import Fleet, HistoryCaller, InstanceMember, Operator
 from baobabstandins.scenarios._model import PublishService, Scenario
 
-NEVER_S = float("inf")
+NOT_RETURNED_S = float("inf")
 
 
 @dataclass(slots=True)
-class Absence:
-    """Tell from when until when a zone or target should have no new work."""
+class RemovalPeriod:
+    """Represent the time in which a zone or target should get no new calls."""
 
-    left_at_s: float
-    back_at_s: float = NEVER_S
+    removed_at_s: float
+    returned_at_s: float = NOT_RETURNED_S
 
 
 @dataclass(slots=True)
-class Run:
-    """Hold the processes of a run and what the checks need to know of it."""
+class ScenarioRun:
+    """Represent the processes of a run and what it recorded for the checks."""
 
     scenario: Scenario
     fleet: Fleet
@@ -29,8 +29,8 @@
     rng: random.Random
     services: dict[str, PublishService] = field(default_factory=dict)
     service_of_target: dict[str, str] = field(default_factory=dict)
-    zones: dict[str, Absence] = field(default_factory=dict)
-    targets_left: dict[str, Absence] = field(default_factory=dict)
+    removed_zones: dict[str, RemovalPeriod] = field(default_factory=dict)
+    removed_targets: dict[str, RemovalPeriod] = field(default_factory=dict)
     turned_cold_at_s: dict[str, float] = field(default_factory=dict)
     terminated: list[InstanceMember] = field(default_factory=list)
     records: list[TargetRecord] = field(default_factory=list)
@@ -38,6 +38,6 @@
     last_event_at_s: float = 0.0
     ended_at_s: float = 0.0
 
-    def instance(self, number: int) -> InstanceMember:
-        """Return the instance that was started as the `number`th."""
+    def get_instance(self, number: int) -> InstanceMember:
+        """Return an instance by the order of its start; the first is 1."""
         return self.fleet.instances[number - 1]
--- a/packages/baobabstandins/baobabstandins/scenarios/_runner.py
+++ b/packages/baobabstandins/baobabstandins/scenarios/_runner.py
@@ -10,68 +10,68 @@
 from baobabstandins.checker import Finding, TargetRecord
 from baobabstandins.fleet import Fleet, HistoryCaller, Operator, TargetMember, make_call
 from baobabstandins.scenarios import _model as model
-from baobabstandins.scenarios._actions import act
-from baobabstandins.scenarios._expectations import check
-from baobabstandins.scenarios._run import Run
+from baobabstandins.scenarios._actions import run_action
+from baobabstandins.scenarios._expectations import check_expectation
+from baobabstandins.scenarios._run import ScenarioRun
 from baobabstandins.scenarios._setup import set_up
 
-OBSERVE_S = 0.5
+FINAL_SAMPLING_S = 0.5
 RUN_TIMEOUT_S = 40.0
-END_TIMEOUT_S = 10.0
+TERMINATION_TIMEOUT_S = 10.0
 
 
 async def run_scenario(scenario: model.Scenario, directory: Path) -> list[Finding]:
-    """Run a scenario and return what contradicts its expectations.
+    """Run a scenario and return violations of its expectations.
 
-    Settings, logs and the history of the callers go to `directory`.
+    Settings, logs and the history of the run are written to `directory`.
     """
-    async with Fleet(directory, _sections(scenario)) as fleet:
+    async with Fleet(directory, _build_settings(scenario)) as fleet:
         operator = Operator(fleet.rotation)
         async with HistoryCaller(fleet.rotation, scenario.seed) as caller:
             rng = random.Random(scenario.seed)
-            run = Run(scenario, fleet, operator, caller, rng)
+            run = ScenarioRun(scenario, fleet, operator, caller, rng)
             findings = await _execute(run)
             _write_history(run, directory / "history.txt")
             for expectation in scenario.expectations:
-                findings += check(expectation, run)
+                findings += check_expectation(expectation, run)
             return findings
 
 
-async def _execute(run: Run) -> list[Finding]:
-    """Carry the scenario out; return what went wrong with the run itself."""
+async def _execute(run: ScenarioRun) -> list[Finding]:
+    """Run the scenario and return failures of the run itself."""
     for step in run.scenario.setup:
         await set_up(step, run)
     findings = []
     try:
         async with asyncio.timeout(RUN_TIMEOUT_S):
-            await _disturb(run)
+            await _run_loads_and_events(run)
     except TimeoutError:
-        problem = f"did not end in {RUN_TIMEOUT_S} s"
+        problem = f"did not end within {RUN_TIMEOUT_S} s"
         findings.append(Finding("run ends", run.scenario.name, problem))
-    run.records = [await _record(run, m) for m in run.fleet.targets.values()]
+    run.records = [await _collect_record(run, m) for m in run.fleet.targets.values()]
     run.ended_at_s = time.time()
-    return findings + _find_ended_instances(run) + _find_logged_errors(run)
+    return findings + _find_exited_instances(run) + _find_logged_errors(run)
 
 
-async def _disturb(run: Run) -> None:
-    """Send the load while the events happen."""
+async def _run_loads_and_events(run: ScenarioRun) -> None:
+    """Send the loads while the events are carried out."""
     sampling = asyncio.create_task(run.operator.sample_forever())
     try:
         async with asyncio.TaskGroup() as tasks:
             for load in run.scenario.loads:
                 tasks.create_task(_send_load(load, run))
             for event in run.scenario.events:
-                tasks.create_task(_do_event(event, run))
-        await _wait_terminated(run)
-        await asyncio.sleep(OBSERVE_S)
+                tasks.create_task(_run_event(event, run))
+        await _wait_for_terminated(run)
+        await asyncio.sleep(FINAL_SAMPLING_S)
     finally:
         sampling.cancel()
 
 
-def _find_ended_instances(run: Run) -> list[Finding]:
-    """Find instances that ended though nobody killed or terminated them."""
+def _find_exited_instances(run: ScenarioRun) -> list[Finding]:
+    """Find instances that exited without being killed or terminated."""
     return [
-        Finding("instances stay up", member.instance_id, "ended by itself")
+        Finding("instances stay up", member.instance_id, "exited unexpectedly")
         for member in run.fleet.instances
         if not member.child.is_running
         and not member.killed
@@ -79,8 +79,8 @@
     ]
 
 
-def _find_logged_errors(run: Run) -> list[Finding]:
-    """Find instances that logged an error which nothing handled."""
+def _find_logged_errors(run: ScenarioRun) -> list[Finding]:
+    """Find instances that logged an unhandled error."""
     return [
         Finding("no unhandled errors", member.instance_id, str(member.child.log_path))
         for member in run.fleet.instances
@@ -88,8 +88,8 @@
     ]
 
 
-async def _send_load(load: model.Load, run: Run) -> None:
-    """Send calls at an even rate, whether or not earlier ones have ended."""
+async def _send_load(load: model.Load, run: ScenarioRun) -> None:
+    """Send calls at a constant rate without waiting for responses."""
     loop = asyncio.get_running_loop()
     started_s = loop.time()
     async with asyncio.TaskGroup() as tasks:
@@ -99,7 +99,7 @@
             tasks.create_task(_send_call(load, run))
 
 
-async def _send_call(load: model.Load, run: Run) -> None:
+async def _send_call(load: model.Load, run: ScenarioRun) -> None:
     service = run.services[load.service_id]
     call = make_call(
         service.prefix,
@@ -109,26 +109,26 @@
         deadline_ms=load.deadline_ms,
     )
     drawn_percent = run.rng.uniform(0.0, 100.0)
-    if drawn_percent < load.twice_percent:
+    if drawn_percent < load.duplicate_percent:
         await run.caller.call_twice_at_once(call, load.repeats)
         return
-    disconnects = drawn_percent < load.twice_percent + load.leaving_percent
+    disconnects = drawn_percent < load.duplicate_percent + load.disconnect_percent
     await run.caller.call(call, load.repeats, disconnects=disconnects)
 
 
-async def _do_event(event: model.Event, run: Run) -> None:
+async def _run_event(event: model.Event, run: ScenarioRun) -> None:
     await asyncio.sleep(event.at_s)
-    await act(event.action, run)
+    await run_action(event.action, run)
     run.last_event_at_s = max(run.last_event_at_s, time.time())
 
 
-async def _wait_terminated(run: Run) -> None:
-    ends = [member.child.wait_for_exit() for member in run.terminated]
+async def _wait_for_terminated(run: ScenarioRun) -> None:
+    exits = [member.child.wait_for_exit() for member in run.terminated]
     with contextlib.suppress(TimeoutError):
-        await asyncio.wait_for(asyncio.gather(*ends), END_TIMEOUT_S)
+        await asyncio.wait_for(asyncio.gather(*exits), TERMINATION_TIMEOUT_S)
 
 
-async def _record(run: Run, member: TargetMember) -> TargetRecord:
+async def _collect_record(run: ScenarioRun, member: TargetMember) -> TargetRecord:
     entries = await run.fleet.journal(member)
     counters = await run.fleet.counters(member)
     return TargetRecord(
@@ -136,14 +136,14 @@
     )
 
 
-def _sections(scenario: model.Scenario) -> dict[str, dict[str, str]]:
+def _build_settings(scenario: model.Scenario) -> dict[str, dict[str, str]]:
     sections: dict[str, dict[str, str]] = defaultdict(dict)
     for setting in scenario.settings:
         sections[setting.section][setting.key] = setting.value
     return dict(sections)
 
 
-def _write_history(run: Run, path: Path) -> None:
+def _write_history(run: ScenarioRun, path: Path) -> None:
     events = [
         *run.caller.history,
         *run.operator.accepted_changes,
--- a/packages/baobabstandins/baobabstandins/scenarios/_setup.py
+++ b/packages/baobabstandins/baobabstandins/scenarios/_setup.py
@@ -1,26 +1,26 @@
-"""Carry out the statements that set a scenario up."""
+"""Execute the setup statements of a scenario."""
 
 import time
 from functools import singledispatch
 
 from baobabstandins.fleet import put_service
 from baobabstandins.scenarios import _model as model
-from baobabstandins.scenarios._run import Run
+from baobabstandins.scenarios._run import ScenarioRun
 
 
 @singledispatch
-async def set_up(step: object, run: Run) -> None:
-    """Carry out one statement."""
-    raise TypeError(f"no such step: {step!r}")
+async def set_up(step: object, run: ScenarioRun) -> None:
+    """Execute one setup statement."""
+    raise TypeError(f"unknown setup statement: {step!r}")
 
 
 @set_up.register
-async def _(step: model.StartPlatform, run: Run) -> None:
+async def _(step: model.StartPlatform, run: ScenarioRun) -> None:
     await run.fleet.start_platform(step.options)
 
 
 @set_up.register
-async def _(step: model.StartTargets, run: Run) -> None:
+async def _(step: model.StartTargets, run: ScenarioRun) -> None:
     members = await run.fleet.start_targets(
         step.service_id, step.count, step.zone, step.options
     )
@@ -29,12 +29,12 @@
 
 
 @set_up.register
-async def _(step: model.StartInstances, run: Run) -> None:
+async def _(step: model.StartInstances, run: ScenarioRun) -> None:
     await run.fleet.start_instances(step.count, step.zone)
 
 
 @set_up.register
-async def _(step: model.PublishService, run: Run) -> None:
+async def _(step: model.PublishService, run: ScenarioRun) -> None:
     targets = [
         member
         for target_id, member in run.fleet.targets.items()
--- a/packages/baobabstandins/baobabstandins/scenarios/tests/test_generator.py
+++ b/packages/baobabstandins/baobabstandins/scenarios/tests/test_generator.py
@@ -1,6 +1,6 @@
-from baobabstandins.scenarios import random_scenario
+from baobabstandins.scenarios import generate_scenario
 
 
-def test_seed_gives_the_same_scenario_again():
-    assert random_scenario(5) == random_scenario(5)
-    assert random_scenario(5).events != random_scenario(6).events
+def test_same_seed_gives_the_same_scenario():
+    assert generate_scenario(5) == generate_scenario(5)
+    assert generate_scenario(5).events != generate_scenario(6).events
--- a/packages/baobabstandins/baobabstandins/scenarios/tests/test_parser.py
+++ b/packages/baobabstandins/baobabstandins/scenarios/tests/test_parser.py
@@ -2,12 +2,12 @@
 from lark.exceptions import UnexpectedInput
 
 from baobabstandins.fleet import PlatformOptions, TargetOptions
+from baobabstandins.scenarios import _expectation_types as expectation_types
 from baobabstandins.scenarios import _model as model
-from baobabstandins.scenarios import _promises as promises
 from baobabstandins.scenarios import parse_scenario
 
 TEXT = """
-# What may not be repeated runs once.
+# Non-idempotent calls run at most once.
 scenario "instance killed after dispatch" seed 7
 
 set callers leave_lag_ms = 500
@@ -23,7 +23,7 @@
 """
 
 
-def test_scenario_becomes_typed():
+def test_scenario_text_is_parsed_into_the_model():
     scenario = parse_scenario(TEXT)
     assert scenario == model.Scenario(
         name="instance killed after dispatch",
@@ -37,16 +37,19 @@
             model.StartInstances(3),
             model.PublishService("orders", "/orders", "required"),
         ),
-        loads=(model.Load("orders", 40.0, 5.0, repeats=2, leaving_percent=10.0),),
+        loads=(model.Load("orders", 40.0, 5.0, repeats=2, disconnect_percent=10.0),),
         events=(
             model.Event(1.0, model.KillInstance(2)),
-            model.Event(2.5, model.LoseAnswers(3)),
+            model.Event(2.5, model.LoseAppendResponses(3)),
+        ),
+        expectations=(
+            expectation_types.AtMostOnce(),
+            expectation_types.NoNewCallsInZone("sapporo", 3.0),
         ),
-        expectations=(promises.AtMostOnce(), promises.NoWorkInZone("sapporo", 3.0)),
     )
 
 
-def test_unknown_statement_is_refused_with_its_line():
-    with pytest.raises(UnexpectedInput) as refusal:
+def test_unknown_statement_is_rejected_with_its_line():
+    with pytest.raises(UnexpectedInput) as error:
         parse_scenario('scenario "x" seed 1\nstart platfrom\n')
-    assert refusal.value.line == 2
+    assert error.value.line == 2
--- a/packages/baobabstandins/baobabstandins/soak/__init__.py
+++ b/packages/baobabstandins/baobabstandins/soak/__init__.py
@@ -1,4 +1,4 @@
-"""Soak of entry instances under overlapping faults from a seed."""
+"""Soak test of entry instances under overlapping faults drawn from a seed."""
 
 from baobabstandins.soak._plan import Fault, FaultKind, draw_plan
 from baobabstandins.soak._run import run_soak
--- a/packages/baobabstandins/baobabstandins/soak/__main__.py
+++ b/packages/baobabstandins/baobabstandins/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Run the soak for some seeds."""
+"""Run the soak test for a range of seeds."""
 
 import asyncio
 import tempfile
@@ -10,8 +10,8 @@
 
 FLAGS = flags.FLAGS
 flags.DEFINE_integer("first_seed", 1, "seed of the first run")
-flags.DEFINE_integer("runs", 1, "how many runs, each with the next seed")
-flags.DEFINE_float("faults_s", 12.0, "how long faults go on in a run, in seconds")
+flags.DEFINE_integer("runs", 1, "number of runs, each with the next seed")
+flags.DEFINE_float("faults_s", 12.0, "duration of the faults of a run in seconds")
 
 
 def main(argv: list[str]) -> int:
--- a/packages/baobabstandins/baobabstandins/soak/_callers.py
+++ b/packages/baobabstandins/baobabstandins/soak/_callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections open and record what they see."""
+"""Callers that keep their connections open and record their calls."""
 
 import asyncio
 import time
@@ -10,16 +10,19 @@
 
 CALL_INTERVAL_S = 0.06
 DEADLINE_MS = 1_500
-# An answer is read for this long after the deadline before the caller gives up.
-PATIENCE_S = 1.5
-RECONNECT_S = 0.1
-OK = 200
-NOT_RUN = 503
+# Time after the deadline until a caller stops waiting for the response.
+RESPONSE_MARGIN_S = 1.5
+RECONNECT_DELAY_S = 0.1
+STATUS_OK = 200
+STATUS_NOT_RUN = 503
 
 
 @dataclass(frozen=True, slots=True)
-class SeenCall:
-    """Record one call as its caller saw it; `status` is None without an answer."""
+class CallRecord:
+    """Represent one call as its caller saw it.
+
+    `status` is None if the caller got no complete response.
+    """
 
     caller: str
     call_id: str
@@ -32,31 +35,33 @@
     body: bytes = b""
 
     @property
-    def once_only(self) -> bool:
-        """Tell whether the call may run once only."""
+    def is_at_most_once(self) -> bool:
+        """Return whether the call may run at most once."""
         return self.method == "POST"
 
 
 class Caller:
-    """Call one instance again and again, by turns reading and paying."""
+    """Call one instance repeatedly, alternating between GET and POST."""
 
     def __init__(self, fleet: SoakFleet, name: str, instance: int) -> None:
         self.fleet = fleet
         self.name = name
         self.instance = instance
-        self.seen: list[SeenCall] = []
+        self.records: list[CallRecord] = []
 
     async def run(self, until_s: float) -> None:
-        """Call until a point of the monotonic clock."""
-        timeout = aiohttp.ClientTimeout(total=DEADLINE_MS / 1_000 + PATIENCE_S)
+        """Call until a time of the monotonic clock."""
+        timeout = aiohttp.ClientTimeout(total=DEADLINE_MS / 1_000 + RESPONSE_MARGIN_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while time.monotonic() < until_s:
-                seen = await self._call(session)
-                self.seen.append(seen)
-                await asyncio.sleep(CALL_INTERVAL_S if seen.connected else RECONNECT_S)
+                record = await self._call(session)
+                self.records.append(record)
+                await asyncio.sleep(
+                    CALL_INTERVAL_S if record.connected else RECONNECT_DELAY_S
+                )
 
-    async def _call(self, session: aiohttp.ClientSession) -> SeenCall:
-        number = len(self.seen)
+    async def _call(self, session: aiohttp.ClientSession) -> CallRecord:
+        number = len(self.records)
         call_id = f"{self.name}-{number}"
         method, path = ("POST", "fees") if number % 2 else ("GET", "menu")
         url = f"{self.fleet.instances[self.instance].url}/{path}/{number}"
@@ -68,14 +73,14 @@
         sent_at_s = time.time()
         status, body, connected = None, b"", True
         try:
-            async with session.request(method, url, headers=headers) as answer:
-                body = await answer.read()
-                status = answer.status
+            async with session.request(method, url, headers=headers) as response:
+                body = await response.read()
+                status = response.status
         except aiohttp.ClientConnectorError:
             connected = False
         except (aiohttp.ClientError, TimeoutError):
             status = None
-        return SeenCall(
+        return CallRecord(
             self.name,
             call_id,
             method,
--- a/packages/baobabstandins/baobabstandins/soak/_fleet.py
+++ b/packages/baobabstandins/baobabstandins/soak/_fleet.py
@@ -1,46 +1,49 @@
-"""Fleet whose links to the store and to the targets go through proxies."""
+"""Fleet whose connections to store and targets go through proxies."""
 
 from pathlib import Path
 
 from baobabstandins.soak._proxy import FaultyLink
 from baobabstandins.usersplatform import EntryFleet, StandinTarget, build_rule
 
-INSTANCES = 4
-TARGETS = 4
+INSTANCE_COUNT = 4
+TARGETS_PER_SERVICE = 4
 ZONES = ("north", "south")
-READS = build_rule("menu", "menuboard")
-PAYMENTS = build_rule("fees", "feedesk", idempotent=False)
+MENU_RULE = build_rule("menu", "menuboard")
+FEES_RULE = build_rule("fees", "feedesk", idempotent=False)
 SERVICES = ("menuboard", "feedesk")
-WORK_S = 0.05
+SERVICE_TIME_S = 0.05
 SHIFTED_ENTRY = "baobabstandins.soak.shifted_entry"
 
 
 class SoakFleet(EntryFleet):
-    """Own the programs and the links between them.
+    """Manage store, targets, instances and the links between them.
 
-    Each instance has a link of its own to the store, each target one for all.
+    Each instance has its own link to the store. Each target has one link, which
+    all instances share.
     """
 
     def __init__(self, directory: Path) -> None:
-        super().__init__(directory, INSTANCES, program=SHIFTED_ENTRY)
+        super().__init__(directory, INSTANCE_COUNT, program=SHIFTED_ENTRY)
         self.store_links: list[FaultyLink] = []
         self.target_links: dict[str, FaultyLink] = {}
         self.zones_out: set[str] = set()
 
     async def start(self) -> None:
         """Start links, targets and instances."""
-        for _ in range(INSTANCES):
+        for _ in range(INSTANCE_COUNT):
             link = FaultyLink(self.store.address)
             await link.start()
             self.store_links.append(link)
-        for number in range(TARGETS):
+        for number in range(TARGETS_PER_SERVICE):
             for service in SERVICES:
                 target_id = f"i-{service}-{number}"
                 zone = ZONES[number % len(ZONES)]
-                target = StandinTarget(target_id, service, zone, work_s=WORK_S)
+                target = StandinTarget(
+                    target_id, service, zone, service_time_s=SERVICE_TIME_S
+                )
                 await self.start_target(target)
                 self.targets.append(target)
-        self.publish([READS, PAYMENTS], list(SERVICES))
+        self.publish([MENU_RULE, FEES_RULE], list(SERVICES))
         await super().start()
 
     async def start_target(self, target: StandinTarget) -> None:
@@ -49,9 +52,9 @@
         link = FaultyLink(target.address)
         await link.start()
         target.address = link.address
-        earlier = self.target_links.get(target.target_id)
-        if earlier is not None:
-            await earlier.stop()
+        previous_link = self.target_links.get(target.target_id)
+        if previous_link is not None:
+            await previous_link.stop()
         self.target_links[target.target_id] = link
         target.register(self.store)
 
@@ -60,12 +63,12 @@
         for link in (*self.store_links, *self.target_links.values()):
             await link.stop()
 
-    def store_address(self, number: int) -> str:
-        """Return where an instance finds the store."""
+    def get_store_address(self, number: int) -> str:
+        """Return the address of the store for an instance."""
         return self.store_links[number].address
 
     async def restart(self, number: int) -> None:
-        """Start an instance anew once its process has ended."""
+        """Wait until the process of an instance has exited, then start it again."""
         instance = self.instances[number]
         await instance.process.wait()
         await instance.start()
--- a/packages/baobabstandins/baobabstandins/soak/_plan.py
+++ b/packages/baobabstandins/baobabstandins/soak/_plan.py
@@ -1,4 +1,4 @@
-"""Series of overlapping faults, drawn from a seed."""
+"""Plans of overlapping faults, drawn from a seed."""
 
 import random
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 
 class FaultKind(StrEnum):
-    """Say what goes wrong."""
+    """Represent the kind of a fault; the order determines what a seed draws."""
 
     STORE_DOWN = "store-down"
     STORE_SILENT = "store-silent"
@@ -29,33 +29,38 @@
     ZONE_OUT = "zone-out"
 
 
-# What stops every instance at once comes alone in its kind, and seldom.
+# Faults that stop all instances at once are drawn rarely.
 RARE_KINDS = frozenset({FaultKind.ALL_KILLED})
 RARE_SHARE = 0.04
 FAULTS_PER_S = 0.8
-LEAST_FOR_S = 0.2
-MOST_FOR_S = 4.0
+MIN_FAULT_DURATION_S = 0.2
+MAX_FAULT_DURATION_S = 4.0
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Hold one fault; `subject` picks what it hits, seconds are from the start."""
+    """Represent one fault, with times since the start of the run.
+
+    `selector` is a random number that selects the affected component.
+    """
 
     kind: FaultKind
     at_s: float
     until_s: float
-    subject: int
+    selector: int
 
 
 def draw_plan(seed: int, duration_s: float) -> tuple[Fault, ...]:
-    """Return the faults of a run in the order of their start."""
+    """Return the faults of a run, sorted by their start."""
     rng = random.Random(seed)
-    common = [kind for kind in FaultKind if kind not in RARE_KINDS]
+    common_kinds = [kind for kind in FaultKind if kind not in RARE_KINDS]
     faults = []
     for _ in range(round(FAULTS_PER_S * duration_s)):
         is_rare = rng.random() < RARE_SHARE
-        kind = rng.choice(sorted(RARE_KINDS) if is_rare else common)
+        kind = rng.choice(sorted(RARE_KINDS) if is_rare else common_kinds)
         at_s = rng.uniform(0.0, duration_s)
-        until_s = min(at_s + rng.uniform(LEAST_FOR_S, MOST_FOR_S), duration_s)
+        until_s = min(
+            at_s + rng.uniform(MIN_FAULT_DURATION_S, MAX_FAULT_DURATION_S), duration_s
+        )
         faults.append(Fault(kind, at_s, until_s, rng.randrange(1_000)))
     return tuple(sorted(faults, key=lambda fault: fault.at_s))
--- a/packages/baobabstandins/baobabstandins/soak/_proxy.py
+++ b/packages/baobabstandins/baobabstandins/soak/_proxy.py
@@ -1,4 +1,4 @@
-"""Loopback proxy that disturbs the connections going through it."""
+"""Loopback proxy that injects faults into connections."""
 
 import asyncio
 import contextlib
@@ -7,26 +7,26 @@
 from dataclasses import dataclass
 
 CHUNK_BYTES = 65_536
-# Closing a socket that lingers for no time resets its connection.
+# SO_LINGER with a timeout of 0: closing the socket resets the connection.
 NO_LINGER = struct.pack("ii", 1, 0)
 
 
 @dataclass(slots=True)
 class LinkFaults:
-    """Say what happens to what goes through a link.
+    """Represent the faults of a link.
 
-    Silence swallows bytes in one direction: `mute_requests` those towards the
-    server, `mute_answers` those from it.
+    `drop_requests` drops the bytes to the server, `drop_responses` those from it.
+    The connections stay open.
     """
 
     delay_s: float = 0.0
-    mute_requests: bool = False
-    mute_answers: bool = False
-    refuse: bool = False
+    drop_requests: bool = False
+    drop_responses: bool = False
+    refuse_connections: bool = False
 
 
 class FaultyLink:
-    """Pass connections on to a server, with faults that may change at any time."""
+    """Forward connections to a server, with faults that may change at any time."""
 
     def __init__(self, server_address: str) -> None:
         self.faults = LinkFaults()
@@ -37,13 +37,13 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Begin to listen on a free port of the loopback."""
-        self._listener = await asyncio.start_server(self._connected, "127.0.0.1", 0)
+        """Listen on a free loopback port."""
+        self._listener = await asyncio.start_server(self._on_connection, "127.0.0.1", 0)
         host, port = self._listener.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
 
     async def stop(self) -> None:
-        """End listening and reset all connections."""
+        """Stop listening and reset all connections."""
         self._listener.close()
         self.reset()
 
@@ -52,10 +52,10 @@
         for writer in list(self._writers):
             _reset(writer)
 
-    async def _connected(
+    async def _on_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if self.faults.refuse:
+        if self.faults.refuse_connections:
             _reset(writer)
             return
         with contextlib.suppress(OSError):
@@ -65,26 +65,26 @@
             self._writers |= {writer, server_writer}
             try:
                 await asyncio.gather(
-                    self._pass_on(reader, server_writer, self._mutes_requests),
-                    self._pass_on(server_reader, writer, self._mutes_answers),
+                    self._forward(reader, server_writer, self._drops_requests),
+                    self._forward(server_reader, writer, self._drops_responses),
                 )
             finally:
                 self._writers -= {writer, server_writer}
                 writer.transport.abort()
                 server_writer.transport.abort()
 
-    def _mutes_requests(self) -> bool:
-        return self.faults.mute_requests
+    def _drops_requests(self) -> bool:
+        return self.faults.drop_requests
 
-    def _mutes_answers(self) -> bool:
-        return self.faults.mute_answers
+    def _drops_responses(self) -> bool:
+        return self.faults.drop_responses
 
-    async def _pass_on(self, reader, writer, is_muted) -> None:
-        """Pass bytes on until the sender ends, then end the other side as well."""
+    async def _forward(self, reader, writer, drops_data) -> None:
+        """Forward bytes until the sender closes, then close the receiver's side."""
         while data := await reader.read(CHUNK_BYTES):
             if self.faults.delay_s:
                 await asyncio.sleep(self.faults.delay_s)
-            if not is_muted():
+            if not drops_data():
                 writer.write(data)
                 await writer.drain()
         writer.close()
--- a/packages/baobabstandins/baobabstandins/soak/_run.py
+++ b/packages/baobabstandins/baobabstandins/soak/_run.py
@@ -1,4 +1,4 @@
-"""One run of the soak."""
+"""Run the soak test for one seed."""
 
 import asyncio
 import time
@@ -8,57 +8,58 @@
 from baobabstandins.soak._callers import Caller
 from baobabstandins.soak._checks import History, check_history
 from baobabstandins.soak._faults import FaultInjector
-from baobabstandins.soak._fleet import INSTANCES, SoakFleet
+from baobabstandins.soak._fleet import INSTANCE_COUNT, SoakFleet
 from baobabstandins.soak._plan import draw_plan
 
 CALLERS_PER_INSTANCE = 2
-# Everything has to work again this long after the last fault ended.
-RECOVERY_S = 6.0
-CALM_S = 2.0
+# All calls must succeed again this long after the end of the last fault.
+MAX_RECOVERY_S = 6.0
+# Callers continue for this long, so that the recovery is checked.
+AFTER_RECOVERY_S = 2.0
 
 
 async def run_soak(seed: int, duration_s: float, directory: Path) -> list[Finding]:
-    """Run programs, callers and faults of a seed; return what broke a promise.
+    """Run instances, callers and the faults of a seed; return violations.
 
-    Settings and logs of the instances go to `directory`.
+    Settings and logs of the instances are written to `directory`.
     """
     async with SoakFleet(directory) as fleet:
         await fleet.start()
         try:
-            return await _disturb_and_check(fleet, seed, duration_s)
+            return await _inject_faults_and_check(fleet, seed, duration_s)
         finally:
             await fleet.stop_links()
 
 
-async def _disturb_and_check(
+async def _inject_faults_and_check(
     fleet: SoakFleet, seed: int, duration_s: float
 ) -> list[Finding]:
     injector = FaultInjector(fleet)
     callers = [
-        Caller(fleet, f"{seed}-{number}-{turn}", number)
-        for number in range(INSTANCES)
-        for turn in range(CALLERS_PER_INSTANCE)
+        Caller(fleet, f"{seed}-{number}-{index}", number)
+        for number in range(INSTANCE_COUNT)
+        for index in range(CALLERS_PER_INSTANCE)
     ]
-    calm_from_s = time.time() + duration_s + RECOVERY_S
-    until_s = time.monotonic() + duration_s + RECOVERY_S + CALM_S
+    recovered_by_s = time.time() + duration_s + MAX_RECOVERY_S
+    until_s = time.monotonic() + duration_s + MAX_RECOVERY_S + AFTER_RECOVERY_S
     async with asyncio.TaskGroup() as group:
         for caller in callers:
             group.create_task(caller.run(until_s))
         group.create_task(injector.run(draw_plan(seed, duration_s)))
     history = History(
-        calls=tuple(seen for caller in callers for seen in caller.seen),
+        calls=tuple(record for caller in callers for record in caller.records),
         runs=tuple(run for target in fleet.targets for run in target.runs),
         disturbances=tuple(injector.disturbances),
-        calm_from_s=calm_from_s,
+        recovered_by_s=recovered_by_s,
     )
-    return check_history(history) + _find_broken_programs(fleet)
+    return check_history(history) + _find_failed_instances(fleet)
 
 
-def _find_broken_programs(fleet: SoakFleet) -> list[Finding]:
+def _find_failed_instances(fleet: SoakFleet) -> list[Finding]:
     findings = []
     for instance in fleet.instances:
-        if not instance.running:
-            findings.append(Finding("stays up", instance.name, "ended by itself"))
-        for line in instance.unhandled_errors():
+        if not instance.is_running:
+            findings.append(Finding("stays up", instance.name, "exited unexpectedly"))
+        for line in instance.read_unhandled_errors():
             findings.append(Finding("no errors", instance.name, line["event"]))
     return findings
--- a/packages/baobabstandins/baobabstandins/soak/shifted_entry.py
+++ b/packages/baobabstandins/baobabstandins/soak/shifted_entry.py
@@ -1,30 +1,30 @@
-"""Entry program whose time of day jumps by an hour at each SIGUSR1."""
+"""Entry program whose wall clock jumps by one hour on each SIGUSR1."""
 
 import runpy
 import signal
 import time
 
-JUMP_S = 3_600.0
+CLOCK_JUMP_S = 3_600.0
 
 
 class ShiftedTime:
-    """Tell the time of day with the jumps so far, forwards and back by turns."""
+    """Wall clock that jumps alternately forwards and back."""
 
     def __init__(self) -> None:
-        self._true_time = time.time
+        self._system_time = time.time
         self._offset_s = 0.0
 
-    def now_s(self) -> float:
+    def get_time_s(self) -> float:
         """Return the shifted time."""
-        return self._true_time() + self._offset_s
+        return self._system_time() + self._offset_s
 
     def jump(self, *_: object) -> None:
-        """Jump forwards, or back if the last jump went forwards."""
-        self._offset_s = 0.0 if self._offset_s else JUMP_S
+        """Jump forwards, or back if the last jump was forwards."""
+        self._offset_s = 0.0 if self._offset_s else CLOCK_JUMP_S
 
 
 if __name__ == "__main__":
     shifted = ShiftedTime()
-    time.time = shifted.now_s
+    time.time = shifted.get_time_s
     signal.signal(signal.SIGUSR1, shifted.jump)
     runpy.run_module("baobabring.program.entry", run_name="__main__")
--- a/packages/baobabstandins/baobabstandins/soak/tests/test_plan.py
+++ b/packages/baobabstandins/baobabstandins/soak/tests/test_plan.py
@@ -1,4 +1,4 @@
-"""Test the plans of the soak."""
+"""Test the fault plans of the soak test."""
 
 from baobabstandins.soak import FaultKind, draw_plan
 
@@ -17,6 +17,6 @@
     assert any(later.at_s < earlier.until_s for earlier, later in pairs)
 
 
-def test_every_kind_comes_up():
+def test_every_kind_is_drawn():
     drawn = {fault.kind for seed in range(20) for fault in draw_plan(seed, DURATION_S)}
     assert drawn == set(FaultKind)
--- a/packages/baobabstandins/baobabstandins/soak/tests/test_proxy.py
+++ b/packages/baobabstandins/baobabstandins/soak/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""Test the proxy that disturbs connections."""
+"""Test the proxy that injects faults into connections."""
 
 import asyncio
 
@@ -11,14 +11,14 @@
 
 @pytest.fixture
 async def link():
-    """Return a link to a server that sends back what it gets."""
+    """Return a link to an echo server."""
 
-    async def send_back(reader, writer):
+    async def echo(reader, writer):
         while data := await reader.read(100):
             writer.write(data)
         writer.close()
 
-    server = await asyncio.start_server(send_back, "127.0.0.1", 0)
+    server = await asyncio.start_server(echo, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()[:2]
     link = FaultyLink(f"{host}:{port}")
     await link.start()
@@ -33,15 +33,15 @@
     return await asyncio.open_connection(host, int(port))
 
 
-async def test_whole_link_passes_everything_on(link):
+async def test_link_without_faults_forwards_everything(link):
     reader, writer = await connect(link)
     writer.write(b"hello")
     assert await reader.read(100) == b"hello"
     writer.close()
 
 
-@pytest.mark.parametrize("fault", ["mute_requests", "mute_answers"])
-async def test_muted_link_swallows_one_direction(link, fault):
+@pytest.mark.parametrize("fault", ["drop_requests", "drop_responses"])
+async def test_link_drops_one_direction(link, fault):
     reader, writer = await connect(link)
     setattr(link.faults, fault, True)
     writer.write(b"hello")
@@ -50,7 +50,7 @@
     writer.close()
 
 
-async def test_slow_link_delays(link):
+async def test_link_delays_both_directions(link):
     link.faults.delay_s = WAIT_S
     loop = asyncio.get_running_loop()
     started_s = loop.time()
@@ -61,7 +61,7 @@
     writer.close()
 
 
-async def test_reset_ends_connections_at_once(link):
+async def test_reset_closes_connections_immediately(link):
     reader, writer = await connect(link)
     writer.write(b"hello")
     await reader.read(100)
@@ -70,8 +70,8 @@
         await asyncio.wait_for(reader.readexactly(1), WAIT_S)
 
 
-async def test_refusing_link_takes_no_connection(link):
-    link.faults.refuse = True
+async def test_refused_connection_is_reset(link):
+    link.faults.refuse_connections = True
     reader, _ = await connect(link)
     with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
         await asyncio.wait_for(reader.readexactly(1), WAIT_S)
--- a/packages/baobabstandins/baobabstandins/soak/tests/test_soak.py
+++ b/packages/baobabstandins/baobabstandins/soak/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Run the soak for a short time, and again for each seed that ever failed."""
+"""Run the soak test for a short time. Seeds that ever failed belong here too."""
 
 from baobabstandins.soak import run_soak
 
--- a/packages/baobabstandins/baobabstandins/target/__main__.py
+++ b/packages/baobabstandins/baobabstandins/target/__main__.py
@@ -5,7 +5,7 @@
 
 from absl import app, flags
 
-from baobabstandins._serving import start_site, wait_for_signal
+from baobabstandins._serving import start_site, wait_for_stop_signal
 from baobabstandins.target import TargetSettings, make_target, parse_specs
 
 FLAGS = flags.FLAGS
@@ -66,11 +66,11 @@
     for settings in all_settings:
         target = make_target(settings)
         runner, port = await start_site(
-            target.make_app(), FLAGS.host, settings.port, cancel_when_caller_leaves=True
+            target.make_app(), FLAGS.host, settings.port, cancel_on_disconnect=True
         )
         runners.append(runner)
         print(f"listening {FLAGS.host}:{port} {settings.target_id}", flush=True)
-    await wait_for_signal()
+    await wait_for_stop_signal()
     await asyncio.gather(*(runner.cleanup() for runner in runners))
 
 
--- a/packages/baobabstandins/baobabstandins/target/_server.py
+++ b/packages/baobabstandins/baobabstandins/target/_server.py
@@ -9,7 +9,7 @@
 from aiohttp.typedefs import Handler
 
 from baobabstandins._faults import merge_faults
-from baobabstandins._serving import BODY_LIMIT_BYTES, close_without_answer
+from baobabstandins._serving import MAX_BODY_BYTES, close_without_response
 from baobabstandins.target._cold_start import ColdStart
 from baobabstandins.target._faults import TargetFaults
 from baobabstandins.target._journal import Counters, Journal, JournalEntry
@@ -47,7 +47,7 @@
             self._cold_start.begin(time.time())
         app = web.Application(
             middlewares=[self._withhold_silenced_responses],
-            client_max_size=BODY_LIMIT_BYTES,
+            client_max_size=MAX_BODY_BYTES,
         )
         app.router.add_get("/-/health", self._handle_probe)
         app.router.add_get("/-/faults", self._get_faults)
@@ -74,7 +74,7 @@
         self.counters.calls += 1
         if self.faults.close_before_run > 0:
             self.faults.close_before_run -= 1
-            return close_without_answer(request)
+            return close_without_response(request)
         if self.faults.draining or self._slots.is_full or _is_past_deadline(request):
             return self._shed()
         slowdown = self._record_cold_violation()
--- a/packages/baobabstandins/baobabstandins/target/tests/test_server.py
+++ b/packages/baobabstandins/baobabstandins/target/tests/test_server.py
@@ -14,7 +14,7 @@
 async def run_target(**settings):
     server = make_target(TargetSettings("t", service_sigma=0.0, **settings))
     runner, port = await start_site(
-        server.make_app(), "127.0.0.1", 0, cancel_when_caller_leaves=True
+        server.make_app(), "127.0.0.1", 0, cancel_on_disconnect=True
     )
     async with aiohttp.ClientSession(f"http://127.0.0.1:{port}") as session:
         yield server, session
--- a/packages/baobabstandins/baobabstandins/usersplatform/__init__.py
+++ b/packages/baobabstandins/baobabstandins/usersplatform/__init__.py
@@ -1,13 +1,13 @@
-"""Stand-ins of the users' platform: its store, its targets and a fleet on them."""
+"""Stand-ins for store and targets of the users' platform, and a fleet on them."""
 
 from baobabstandins.usersplatform._fleet import EntryFleet, EntryProcess, build_rule
 from baobabstandins.usersplatform._store import StandinStore
-from baobabstandins.usersplatform._target import Run, StandinTarget, TargetFault
+from baobabstandins.usersplatform._target import CallRun, StandinTarget, TargetFault
 
 __all__ = [
     "EntryFleet",
     "EntryProcess",
-    "Run",
+    "CallRun",
     "StandinStore",
     "StandinTarget",
     "TargetFault",
--- a/packages/baobabstandins/baobabstandins/usersplatform/_fleet.py
+++ b/packages/baobabstandins/baobabstandins/usersplatform/_fleet.py
@@ -1,4 +1,4 @@
-"""Entry instances as real processes on stand-ins of the users' platform."""
+"""Fleet of real entry processes on stand-ins for the users' platform."""
 
 import asyncio
 import contextlib
@@ -20,11 +20,11 @@
 READY_PORT = 8388
 ENTRY_PROGRAM = "baobabring.program.entry"
 PEER_PORTS = (7200, 7215)
-READY_LIMIT_S = 20.0
-POLL_S = 0.05
-END_LIMIT_S = 15.0
+STARTUP_TIMEOUT_S = 20.0
+READINESS_POLL_INTERVAL_S = 0.05
+EXIT_TIMEOUT_S = 15.0
 
-SETTINGS = """
+SETTINGS_TEMPLATE = """
 [local-node]
 node = "{name}"
 role = "entry"
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class EntryProcess:
-    """Hold one entry instance's process and where it listens."""
+    """Represent the process of one entry instance and its addresses."""
 
     name: str
     ip: str
@@ -59,12 +59,12 @@
 
     @property
     def url(self) -> str:
-        """Return where callers reach the instance."""
+        """Return the base URL for callers."""
         return f"http://{self.ip}:{FRONT_PORT}"
 
     @property
-    def running(self) -> bool:
-        """Tell whether the process has not ended."""
+    def is_running(self) -> bool:
+        """Return whether the process has been started and has not exited."""
         return self.process is not None and self.process.returncode is None
 
     async def start(self) -> None:
@@ -79,32 +79,32 @@
                 stderr=log,
             )
 
-    def send(self, number: signal.Signals) -> None:
-        """Send a signal, unless the process has ended."""
-        if self.running:
-            self.process.send_signal(number)
+    def send_signal(self, signal_number: signal.Signals) -> None:
+        """Send a signal, unless the process has exited."""
+        if self.is_running:
+            self.process.send_signal(signal_number)
 
-    async def end(self) -> None:
-        """End the process by force and wait for its end."""
-        self.send(signal.SIGKILL)
+    async def kill(self) -> None:
+        """Kill the process and wait until it has exited."""
+        self.send_signal(signal.SIGKILL)
         await self.process.wait()
 
-    def log_lines(self, event: str) -> list[dict]:
+    def read_log_lines(self, event: str) -> list[dict]:
         """Return the log lines of an event."""
-        return [line for line in self._decoded_log() if line["event"] == event]
+        return [line for line in self._read_log() if line["event"] == event]
 
-    def unhandled_errors(self) -> list[dict]:
-        """Return the log lines of errors that nothing handled."""
-        lines = self._decoded_log()
+    def read_unhandled_errors(self) -> list[dict]:
+        """Return the log lines of unhandled errors."""
+        lines = self._read_log()
         return [line for line in lines if "Traceback" in line.get("error", "")]
 
-    def _decoded_log(self) -> list[dict]:
+    def _read_log(self) -> list[dict]:
         lines = self.log_path.read_text(errors="replace").splitlines()
         return [json.loads(line) for line in lines if line.startswith("{")]
 
 
 class EntryFleet:
-    """Own a store, targets and entry instances, all on the loopback."""
+    """Manage a store, targets and entry instances, all on loopback addresses."""
 
     def __init__(
         self, directory: Path, instances: int, program: str = ENTRY_PROGRAM
@@ -113,10 +113,10 @@
         self.targets: list[StandinTarget] = []
         self.instances: list[EntryProcess] = []
         self._directory = directory
-        self._count = instances
+        self._instance_count = instances
         self._program = program
         self._version = 0
-        # Fleets of tests that run side by side must not meet.
+        # Gives fleets of tests that run in parallel different addresses.
         self._network = f"127.{random.randint(1, 250)}.{random.randint(1, 250)}"
 
     async def __aenter__(self) -> "EntryFleet":
@@ -126,7 +126,7 @@
     async def __aexit__(self, *exc_info) -> None:
         for instance in self.instances:
             with contextlib.suppress(ProcessLookupError):
-                await instance.end()
+                await instance.kill()
         for target in self.targets:
             await target.stop()
         await self.store.stop()
@@ -138,12 +138,12 @@
         self.targets.append(target)
         return target
 
-    def publish(self, routes: list[dict], services: list[str]) -> int:
-        """Publish a configuration; return its version."""
+    def publish(self, rules: list[dict], services: list[str]) -> int:
+        """Publish a configuration and return its version."""
         self._version += 3
         value = {
             "version": self._version,
-            "listeners": [{"host": "school.example", "rule-set": routes}],
+            "listeners": [{"host": "school.example", "rule-set": rules}],
             "clusters": [
                 {
                     "name": name,
@@ -158,34 +158,34 @@
         return self._version
 
     def take_zone_out(self, zone: str) -> None:
-        """Ask that the targets of an availability zone get nothing new."""
+        """Request that the targets of an availability zone get no new calls."""
         self.store.put(OPERATOR_TOPIC, f"evacuate/{zone}", b"{}")
 
     def take_zone_in(self, zone: str) -> None:
-        """Let the targets of an availability zone get new calls again."""
+        """Allow new calls to the targets of an availability zone again."""
         self.store.put(OPERATOR_TOPIC, f"evacuate/{zone}", b"")
 
     async def start(self) -> None:
         """Start all instances and wait until they are ready."""
-        for number in range(self._count):
+        for number in range(self._instance_count):
             instance = self._create_instance(number)
             self.instances.append(instance)
             await instance.start()
-        await self.wait_ready()
+        await self.wait_until_ready()
 
-    async def wait_ready(self) -> None:
-        """Wait until every running instance says that it is ready."""
-        async with asyncio.timeout(READY_LIMIT_S):
+    async def wait_until_ready(self) -> None:
+        """Wait until every running instance reports that it is ready."""
+        async with asyncio.timeout(STARTUP_TIMEOUT_S):
             for instance in self.instances:
-                while instance.running and not await self.is_ready(instance):
-                    await asyncio.sleep(POLL_S)
+                while instance.is_running and not await self.is_ready(instance):
+                    await asyncio.sleep(READINESS_POLL_INTERVAL_S)
 
     async def is_ready(self, instance: EntryProcess) -> bool:
-        """Ask an instance whether it is ready."""
+        """Return whether an instance reports that it is ready."""
         url = f"http://{instance.ip}:{READY_PORT}/ready"
         try:
-            async with aiohttp.ClientSession() as session, session.get(url) as answer:
-                return answer.status == 200
+            async with aiohttp.ClientSession() as session, session.get(url) as response:
+                return response.status == 200
         except aiohttp.ClientError:
             return False
 
@@ -194,7 +194,7 @@
         ip = f"{self._network}.{number + 1}"
         settings_path = self._directory / f"{name}.toml"
         settings_path.write_text(
-            SETTINGS.format(
+            SETTINGS_TEMPLATE.format(
                 name=name,
                 ip=ip,
                 zone="north",
@@ -202,14 +202,14 @@
                 last_port=PEER_PORTS[1],
                 front_port=FRONT_PORT,
                 ready_port=READY_PORT,
-                store=self.store_address(number),
+                store=self.get_store_address(number),
             )
         )
         log_path = self._directory / f"{name}.log"
         return EntryProcess(name, ip, settings_path, log_path, self._program)
 
-    def store_address(self, number: int) -> str:
-        """Return where an instance finds the store."""
+    def get_store_address(self, number: int) -> str:
+        """Return the address of the store for an instance."""
         return self.store.address
 
 
@@ -220,7 +220,7 @@
     timeout_ms: int = 1_500,
     attempts: int = 2,
 ) -> dict:
-    """Return a route of the path prefix `/NAME/`."""
+    """Return a rule for the path prefix `/NAME/`."""
     return {
         "name": name,
         "route-type": "safe" if idempotent else "unsafe",
--- a/packages/baobabstandins/baobabstandins/usersplatform/_target.py
+++ b/packages/baobabstandins/baobabstandins/usersplatform/_target.py
@@ -1,4 +1,4 @@
-"""Stand-in of a target on the users' platform."""
+"""Stand-in for a target of the users' platform."""
 
 import asyncio
 import contextlib
@@ -10,11 +10,11 @@
 from baobabstandins.usersplatform._store import StandinStore
 
 TARGET_TOPIC = "keyed.servers"
-SPLIT_BYTES = b"\r\n\r\n"
+HEADER_END = b"\r\n\r\n"
 
 
 class TargetFault(StrEnum):
-    """Say what a target does wrong with its next calls."""
+    """Represent how a target fails its calls."""
 
     NONE = "none"
     RESET_AFTER_RUN = "reset-after-run"
@@ -25,8 +25,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Run:
-    """Record one call that a target began to work on."""
+class CallRun:
+    """Represent one call that a target started to run."""
 
     call_id: str
     path: str
@@ -37,39 +37,41 @@
 
 @dataclass(slots=True)
 class StandinTarget:
-    """Serve calls and probes for health on bare connections."""
+    """Serve calls and health probes on plain TCP connections."""
 
     target_id: str
     service_id: str
     zone: str = "north"
     slots: int = 2
-    work_s: float = 0.02
+    service_time_s: float = 0.02
     fault: TargetFault = TargetFault.NONE
-    cold_ms: float = 0.0
-    runs: list[Run] = field(default_factory=list)
-    cancelled: int = 0
+    warmup_left_ms: float = 0.0
+    runs: list[CallRun] = field(default_factory=list)
+    cancelled_calls: int = 0
     address: str = ""
-    running: int = 0
+    running_calls: int = 0
     sequence: int = 0
-    born_ms: int = 0
+    started_at_ms: int = 0
     _server: asyncio.Server | None = None
     _writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
     async def start(self) -> None:
-        """Begin to serve on a free port of the loopback."""
-        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
+        """Serve on a free loopback port."""
+        self._server = await asyncio.start_server(
+            self._handle_connection, "127.0.0.1", 0
+        )
         host, port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
-        self.born_ms = int(time.time() * 1_000)
+        self.started_at_ms = int(time.time() * 1_000)
 
     async def stop(self) -> None:
-        """End serving and drop all connections, as a crash does."""
+        """Stop serving and abort all connections, as a crash does."""
         self._server.close()
         for writer in list(self._writers):
             writer.transport.abort()
 
     def register(self, store: StandinStore, state: str = "ready") -> None:
-        """Write the target's registration."""
+        """Write the registration of the target to the store."""
         self.sequence += 1
         entry = {
             "address": self.address,
@@ -82,88 +84,101 @@
             "status": {
                 "state": state,
                 "seq": self.sequence,
-                "warmup-left": f"{int(self.cold_ms)}ms",
+                "warmup-left": f"{int(self.warmup_left_ms)}ms",
             },
-            "born": self.born_ms,
+            "born": self.started_at_ms,
         }
         store.put(TARGET_TOPIC, self.target_id, json.dumps(entry).encode())
 
-    def remove(self, store: StandinStore) -> None:
-        """Remove the target's registration."""
+    def unregister(self, store: StandinStore) -> None:
+        """Remove the registration of the target from the store."""
         store.put(TARGET_TOPIC, self.target_id, b"")
 
-    async def _serve(
+    async def _handle_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._writers.add(writer)
         try:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                while await self._serve_one(reader, writer):
+                while await self._handle_request(reader, writer):
                     pass
         finally:
             self._writers.discard(writer)
             writer.close()
 
-    async def _serve_one(
+    async def _handle_request(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        head = (await reader.readuntil(SPLIT_BYTES)).decode("latin-1")
+        head = (await reader.readuntil(HEADER_END)).decode("latin-1")
         lines = head.split("\r\n")
         method, path, _ = lines[0].split(" ")
         headers = dict(line.lower().split(": ", 1) for line in lines[1:] if line)
         body = await reader.readexactly(int(headers.get("content-length", "0")))
         if path == "/health":
-            self._answer(writer, 200, {"X-Baobabring-Instance-Id": self.target_id})
+            self._write_response(
+                writer, 200, {"X-Baobabring-Instance-Id": self.target_id}
+            )
             return True
-        expected = headers["x-baobabring-target-instance"]
-        if expected != self.target_id:
-            self._answer(writer, 421, {"X-Baobabring-Instance-Id": self.target_id})
+        expected_id = headers["x-baobabring-target-instance"]
+        if expected_id != self.target_id:
+            self._write_response(
+                writer, 421, {"X-Baobabring-Instance-Id": self.target_id}
+            )
             return True
         call_id = headers["x-baobabring-attempt-id"]
-        own = {"X-Baobabring-Attempt-Id": call_id}
-        full = self.running >= self.slots
-        if full or self.fault is TargetFault.SHED:
-            self._answer(writer, 503, {**own, "X-Baobabring-Not-Executed": "1"})
+        call_headers = {"X-Baobabring-Attempt-Id": call_id}
+        is_full = self.running_calls >= self.slots
+        if is_full or self.fault is TargetFault.SHED:
+            self._write_response(
+                writer, 503, {**call_headers, "X-Baobabring-Not-Executed": "1"}
+            )
             return True
-        left_ms = float(headers["x-baobabring-deadline-ms"])
-        self.runs.append(Run(call_id, path, body, time.time(), left_ms))
-        if not await self._work(reader):
+        time_left_ms = float(headers["x-baobabring-deadline-ms"])
+        self.runs.append(CallRun(call_id, path, body, time.time(), time_left_ms))
+        if not await self._run_call(reader):
             return False
-        return self._end(writer, own, method)
+        return self._finish_call(writer, call_headers, method)
 
-    async def _work(self, reader: asyncio.StreamReader) -> bool:
-        """Work; return False if the caller closed the connection meanwhile."""
-        self.running += 1
+    async def _run_call(self, reader: asyncio.StreamReader) -> bool:
+        """Wait for the service time; return False if the caller disconnects."""
+        self.running_calls += 1
         try:
-            async with asyncio.timeout(self.work_s):
+            async with asyncio.timeout(self.service_time_s):
                 await reader.read(1)
-            self.cancelled += 1
+            self.cancelled_calls += 1
             return False
         except TimeoutError:
             return True
         finally:
-            self.running -= 1
+            self.running_calls -= 1
 
-    def _end(self, writer: asyncio.StreamWriter, own: dict, method: str) -> bool:
+    def _finish_call(
+        self, writer: asyncio.StreamWriter, call_headers: dict, method: str
+    ) -> bool:
         if self.fault is TargetFault.RESET_AFTER_RUN:
             writer.transport.abort()
             return False
-        proof = {**own, "X-Baobabring-Upstream-Signature": f"s.{self.target_id}"}
-        call_id = own["X-Baobabring-Attempt-Id"]
+        signed_headers = {
+            **call_headers,
+            "X-Baobabring-Upstream-Signature": f"s.{self.target_id}",
+        }
+        call_id = call_headers["X-Baobabring-Attempt-Id"]
         body = f"{method} {call_id} by {self.target_id}".encode()
         if self.fault is TargetFault.FAIL:
-            self._answer(writer, 500, proof, body)
+            self._write_response(writer, 500, signed_headers, body)
             return True
         if self.fault is TargetFault.CUT_SHORT:
-            self._answer(writer, 200, proof, body, length=len(body) + 10)
+            self._write_response(
+                writer, 200, signed_headers, body, length=len(body) + 10
+            )
             return False
         if self.fault is TargetFault.EXTRA_ANSWER_FIRST:
-            other = {**proof, "X-Baobabring-Attempt-Id": "another"}
-            self._answer(writer, 200, other, b"of another call")
-        self._answer(writer, 200, proof, body)
+            other_headers = {**signed_headers, "X-Baobabring-Attempt-Id": "another"}
+            self._write_response(writer, 200, other_headers, b"of another call")
+        self._write_response(writer, 200, signed_headers, body)
         return True
 
-    def _answer(
+    def _write_response(
         self,
         writer: asyncio.StreamWriter,
         status: int,
@@ -173,9 +188,11 @@
     ) -> None:
         lines = [f"HTTP/1.1 {status} S"]
         lines += [f"{name}: {value}" for name, value in headers.items()]
-        lines.append(f"X-Baobabring-Upstream-Load: {self.running},0,{self.slots},100")
-        if self.cold_ms:
-            lines.append(f"X-Baobabring-Warmup-Ms: {int(self.cold_ms)}")
+        lines.append(
+            f"X-Baobabring-Upstream-Load: {self.running_calls},0,{self.slots},100"
+        )
+        if self.warmup_left_ms:
+            lines.append(f"X-Baobabring-Warmup-Ms: {int(self.warmup_left_ms)}")
         lines.append("Keep-Alive: timeout=10")
         lines.append(f"Content-Length: {len(body) if length is None else length}")
-        writer.write("\r\n".join(lines).encode() + SPLIT_BYTES + body)
+        writer.write("\r\n".join(lines).encode() + HEADER_END + body)
--- a/scenarios/test_keys.py
+++ b/scenarios/test_keys.py
@@ -1,4 +1,4 @@
-"""Send keys that were used for another request, and keys that are too old."""
+"""Send idempotency keys that were used for another request or are too old."""
 
 import time
 from dataclasses import replace
@@ -14,16 +14,16 @@
 )
 
 MS_PER_S = 1_000
-OLDER_THAN_THE_WINDOW_S = 7_200
+EXPIRED_KEY_AGE_S = 7_200
 
 
-def old_key() -> str:
-    """Return a UUID of version 7 that tells an age beyond the claims' window."""
-    digits = f"{int((time.time() - OLDER_THAN_THE_WINDOW_S) * MS_PER_S):012x}"
+def make_expired_key() -> str:
+    """Return a version 7 UUID whose time is before the window of claims."""
+    digits = f"{int((time.time() - EXPIRED_KEY_AGE_S) * MS_PER_S):012x}"
     return f"{digits[:8]}-{digits[8:]}-7abc-8def-0123456789ab"
 
 
-async def start_orders(fleet: Fleet) -> None:
+async def start_orders_service(fleet: Fleet) -> None:
     await fleet.start_platform(PlatformOptions())
     targets = await fleet.start_targets("orders", 2, "sapporo", TargetOptions())
     await fleet.start_instances(2, "sapporo")
@@ -32,19 +32,21 @@
     await operator.wait_until_applied(await operator.publish(change))
 
 
-async def paths_run(fleet: Fleet) -> list[str]:
+async def get_executed_paths(fleet: Fleet) -> list[str]:
     journals = [await fleet.journal(target) for target in fleet.targets.values()]
     return [entry.path for journal in journals for entry in journal]
 
 
-async def test_keys_serve_one_request_while_they_are_young(tmp_path):
+async def test_reused_and_expired_keys_are_refused(tmp_path):
     async with Fleet(tmp_path) as fleet:
-        await start_orders(fleet)
+        await start_orders_service(fleet)
         async with HistoryCaller(fleet.rotation, seed=1) as caller:
             first = make_call("/orders", idempotent=False)
             other = replace(make_call("/orders", idempotent=False), key=first.key)
             foreign = replace(first, tenant="another")
-            old = replace(make_call("/orders", idempotent=False), key=old_key())
+            old = replace(
+                make_call("/orders", idempotent=False), key=make_expired_key()
+            )
             for call in (first, other, foreign, old):
                 await caller.call(call, repeats=0)
             ended = [e for e in caller.history if hasattr(e, "outcome")]
@@ -54,4 +56,4 @@
             ("not-run", "key-reused"),
             ("unknown", "key-too-old"),
         ]
-        assert await paths_run(fleet) == [first.path]
+        assert await get_executed_paths(fleet) == [first.path]
--- a/scenarios/test_leave_lag.py
+++ b/scenarios/test_leave_lag.py
@@ -1,4 +1,7 @@
-"""Go on sending to an instance that leaves, as a balancer that lags does."""
+"""Keep sending calls to an instance that is shutting down.
+
+Load balancers notice the shutdown late, so the instance serves for the leave lag.
+"""
 
 import time
 
@@ -12,12 +15,12 @@
     put_service,
 )
 
-LAG_MS = 2_000
-SENT_ON_FOR_S = 1.2
+LEAVE_LAG_MS = 2_000
+SEND_DURATION_S = 1.2
 
 
-async def test_instance_that_leaves_serves_what_a_late_balancer_sends(tmp_path):
-    settings = {"callers": {"leave_lag_ms": str(LAG_MS)}}
+async def test_instance_shutting_down_serves_calls_within_the_leave_lag(tmp_path):
+    settings = {"callers": {"leave_lag_ms": str(LEAVE_LAG_MS)}}
     async with Fleet(tmp_path, settings) as fleet:
         await fleet.start_platform(PlatformOptions())
         targets = await fleet.start_targets("menu", 2, "sapporo", TargetOptions())
@@ -28,7 +31,7 @@
         leaving = fleet.instances[0]
         async with HistoryCaller(lambda: [leaving], seed=1) as caller:
             fleet.terminate(leaving)
-            until_s = time.monotonic() + SENT_ON_FOR_S
+            until_s = time.monotonic() + SEND_DURATION_S
             count = 0
             while time.monotonic() < until_s:
                 await caller.call(make_call("/menu", idempotent=True), repeats=0)
--- a/scenarios/test_leave_with_results.py
+++ b/scenarios/test_leave_with_results.py
@@ -1,4 +1,4 @@
-"""Let an instance leave while the log refuses the result of its last call."""
+"""Shut an instance down while the log refuses the result of its last call."""
 
 import asyncio
 
@@ -12,13 +12,13 @@
     put_service,
 )
 
-# Reads of the log wait up to 1 s beyond it, and give up after 2 s.
+# Must stay below 1 s: reads of the log wait up to 1 s more and time out after 2 s.
 LOG_DELAY_MS = 400
-REFUSED_FOR_S = 2.0
+LOG_OUTAGE_S = 2.0
 DEADLINE_MS = 9_000
 
 
-async def test_instance_that_leaves_records_its_last_results(tmp_path):
+async def test_instance_shutting_down_records_its_last_results(tmp_path):
     async with Fleet(tmp_path, {"callers": {"leave_lag_ms": "0"}}) as fleet:
         await fleet.start_platform(PlatformOptions())
         targets = await fleet.start_targets("orders", 1, "sapporo", TargetOptions())
@@ -31,16 +31,16 @@
         call = make_call("/orders", idempotent=False, deadline_ms=DEADLINE_MS)
         members = [leaving]
         async with HistoryCaller(lambda: members, seed=1) as caller:
-            # The target is out of its cold start once a first call was completed.
+            # The cold start of the target ends with the first completed call.
             await caller.call(make_call("/orders", idempotent=False), repeats=20)
             first_event = len(caller.history)
             await fleet.put_faults(platform, {"delay_ms": LOG_DELAY_MS})
             await caller.call(call, repeats=0)
-            # The result is on its way to the log, which now refuses it.
+            # The append of the result is pending; from now on the log refuses it.
             await fleet.put_faults(platform, {"outage": True})
             fleet.terminate(leaving)
-            # By then the log has refused the append that was on its way, too.
-            await asyncio.sleep(REFUSED_FOR_S)
+            # By the end of the outage, the log has also refused the pending append.
+            await asyncio.sleep(LOG_OUTAGE_S)
             await fleet.put_faults(platform, {"outage": False, "delay_ms": 0})
             await leaving.child.wait_for_exit()
             members[:] = [staying]
--- a/scenarios/test_scenarios.py
+++ b/scenarios/test_scenarios.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 import pytest
-from baobabstandins.scenarios import parse_scenario, random_scenario, run_scenario
+from baobabstandins.scenarios import generate_scenario, parse_scenario, run_scenario
 
 RANDOM_SEEDS = (1, 101)
 PATHS = sorted(Path(__file__).parent.glob("*.scn"))
@@ -17,5 +17,5 @@
 
 @pytest.mark.parametrize("seed", RANDOM_SEEDS)
 async def test_random_scenario(seed, tmp_path):
-    findings = await run_scenario(random_scenario(seed), tmp_path)
+    findings = await run_scenario(generate_scenario(seed), tmp_path)
     assert [str(finding) for finding in findings] == []
--- a/scenarios/test_start_without_state.py
+++ b/scenarios/test_start_without_state.py
@@ -1,4 +1,4 @@
-"""Start an instance that can learn the configuration from nobody."""
+"""Start an instance that can get the configuration neither from log nor peers."""
 
 import asyncio
 import contextlib
@@ -12,25 +12,25 @@
     put_service,
 )
 
-ANSWERS = 20
-ASK_INTERVAL_S = 0.05
-ANSWERS_WITHIN_S = 15.0
+RESPONSE_COUNT = 20
+REQUEST_INTERVAL_S = 0.05
+RESPONSES_TIMEOUT_S = 15.0
 
 
-async def reasons_of_refusals(fleet: Fleet) -> list[str]:
-    """Return why the newest instance refuses calls from its start on."""
+async def collect_refusal_reasons(fleet: Fleet) -> list[str]:
+    """Return the reasons of the first refusals of the newest instance."""
     reasons = []
-    async with asyncio.timeout(ANSWERS_WITHIN_S), aiohttp.ClientSession() as session:
-        while len(reasons) < ANSWERS:
+    async with asyncio.timeout(RESPONSES_TIMEOUT_S), aiohttp.ClientSession() as session:
+        while len(reasons) < RESPONSE_COUNT:
             url = f"http://{fleet.instances[-1].caller_address}/menu/1"
             with contextlib.suppress(aiohttp.ClientConnectorError):
                 async with session.get(url) as response:
                     reasons.append(response.headers["Baobab-Reason"])
-            await asyncio.sleep(ASK_INTERVAL_S)
+            await asyncio.sleep(REQUEST_INTERVAL_S)
     return reasons
 
 
-async def test_instance_without_state_calls_no_service_unknown(tmp_path):
+async def test_instance_without_state_reports_no_service_as_unknown(tmp_path):
     async with Fleet(tmp_path) as fleet:
         await fleet.start_platform(PlatformOptions())
         targets = await fleet.start_targets("menu", 1, "sapporo", TargetOptions())
@@ -42,8 +42,8 @@
         await fleet.put_faults(fleet.platform.address, {"outage": True})
         starting = asyncio.create_task(fleet.start_instances(1, "sapporo"))
         while len(fleet.instances) < 2:
-            await asyncio.sleep(ASK_INTERVAL_S)
-        reasons = await reasons_of_refusals(fleet)
+            await asyncio.sleep(REQUEST_INTERVAL_S)
+        reasons = await collect_refusal_reasons(fleet)
         starting.cancel()
-        # "No service" is final to a caller; here the service is not known yet.
+        # Callers don't retry after "no-service", but the instance just lacks the state.
         assert "no-service" not in reasons
--- a/scenarios/test_strangers.py
+++ b/scenarios/test_strangers.py
@@ -1,4 +1,4 @@
-"""Send an instance what strangers send and check that it keeps its state."""
+"""Send instances malformed records, frames, requests and peer messages."""
 
 import asyncio
 import contextlib
@@ -25,11 +25,18 @@
     put_service,
 )
 
-SERVED_WITHIN_S = 20.0
+CALLS_TIMEOUT_S = 20.0
 STREAMS = ("config", "cold-leases", "claims-0", "claims-1", "claims-2", "claims-3")
-BAD_RECORDS = (b"", b"\xc1", b"garbage", b"\x92\x01\x02", b"\xff" * 4096)
-BAD_FRAMES = (b"", b"\x01", b"\xff\x01", b"\x01\xff", b"\x01\x01\xc1", b"\x01\x02\x90")
-BAD_REQUESTS = (
+INVALID_RECORDS = (b"", b"\xc1", b"garbage", b"\x92\x01\x02", b"\xff" * 4096)
+INVALID_FRAMES = (
+    b"",
+    b"\x01",
+    b"\xff\x01",
+    b"\x01\xff",
+    b"\x01\x01\xc1",
+    b"\x01\x02\x90",
+)
+INVALID_REQUESTS = (
     b"\x00\xff\x00\xff\r\n\r\n",
     b"POST /orders/1 HTTP/1.1\r\nHost: a\r\nContent-Length: -5\r\n\r\n",
     b"POST /orders/1 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
@@ -38,8 +45,8 @@
 )
 
 
-def problems(fleet: Fleet) -> list[str]:
-    """Return the logs of instances that ended or that an error took by surprise."""
+def find_failure_logs(fleet: Fleet) -> list[str]:
+    """Return the logs of instances that exited or had an unhandled error."""
     logs = {m.instance_id: m.child.read_log() for m in fleet.instances}
     return [
         logs[member.instance_id]
@@ -48,33 +55,33 @@
     ]
 
 
-async def append_bad_records(address: str) -> None:
+async def append_invalid_records(address: str) -> None:
     async with aiohttp.ClientSession() as session:
         for stream in STREAMS:
-            for record in BAD_RECORDS:
+            for record in INVALID_RECORDS:
                 url = f"http://{address}/log/{stream}"
                 async with session.post(url, data=record) as response:
                     assert response.status == 201
 
 
-def send_bad_frames(address: str) -> None:
+def send_invalid_frames(address: str) -> None:
     with zmq.Context() as context, context.socket(zmq.PUSH) as socket:
         socket.linger = 1_000
         socket.connect(f"tcp://{address}")
-        for frame in BAD_FRAMES:
+        for frame in INVALID_FRAMES:
             socket.send(frame)
 
 
-async def send_bad_requests(address: str) -> None:
+async def send_invalid_requests(address: str) -> None:
     host, _, port = address.rpartition(":")
-    for request in BAD_REQUESTS:
+    for request in INVALID_REQUESTS:
         _, writer = await asyncio.open_connection(host, int(port))
         writer.write(request)
         await writer.drain()
         writer.close()
 
 
-async def test_strangers_change_nothing(tmp_path):
+async def test_invalid_input_changes_nothing(tmp_path):
     async with Fleet(tmp_path) as fleet:
         await fleet.start_platform(PlatformOptions())
         targets = await fleet.start_targets("orders", 2, "sapporo", TargetOptions())
@@ -83,23 +90,23 @@
         change = put_service("orders", "/orders", "required", 1, targets)
         revision = await operator.publish(change)
         await operator.wait_until_applied(revision)
-        await append_bad_records(fleet.platform.address)
+        await append_invalid_records(fleet.platform.address)
         for member in fleet.instances:
-            send_bad_frames(member.peer_address)
-            await send_bad_requests(member.caller_address)
-        # A newcomer reads the bad records from the start.
+            send_invalid_frames(member.peer_address)
+            await send_invalid_requests(member.caller_address)
+        # A new instance reads the invalid records from the start of the log.
         await fleet.start_instances(1, "sapporo")
         async with HistoryCaller(fleet.rotation, seed=1) as caller:
             calls = [make_call("/orders", idempotent=False) for _ in range(30)]
             await asyncio.gather(*(caller.call(call, repeats=2) for call in calls))
             ended = [getattr(event, "outcome", None) for event in caller.history]
         assert ended.count("completed") == len(calls)
-        assert problems(fleet) == []
+        assert find_failure_logs(fleet) == []
         await operator.wait_until_applied(revision)
 
 
-def strange_messages() -> list[PeerMessage]:
-    """Return messages in the right form that say what no instance says."""
+def build_invalid_messages() -> list[PeerMessage]:
+    """Return messages of valid form with invalid contents."""
     heartbeat = Heartbeat(
         sender="stranger",
         zone="sapporo",
@@ -119,8 +126,10 @@
     ]
 
 
-@pytest.mark.parametrize("message", strange_messages(), ids=lambda m: type(m).__name__)
-async def test_strange_message_ends_nobody(tmp_path, message):
+@pytest.mark.parametrize(
+    "message", build_invalid_messages(), ids=lambda m: type(m).__name__
+)
+async def test_invalid_peer_message_stops_no_instance(tmp_path, message):
     async with Fleet(tmp_path) as fleet:
         await fleet.start_platform(PlatformOptions())
         targets = await fleet.start_targets("orders", 2, "sapporo", TargetOptions())
@@ -133,13 +142,13 @@
                 socket.linger = 1_000
                 socket.connect(f"tcp://{member.peer_address}")
                 socket.send(encode_message(message))
-        # What comes later is served as ever.
+        # Later calls are served as usual.
         async with HistoryCaller(fleet.rotation, seed=1) as caller:
             calls = [make_call("/orders", idempotent=False) for _ in range(40)]
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(SERVED_WITHIN_S):
+                async with asyncio.timeout(CALLS_TIMEOUT_S):
                     for call in calls:
                         await caller.call(call, repeats=2)
             ended = [getattr(event, "outcome", None) for event in caller.history]
-        assert problems(fleet) == []
+        assert find_failure_logs(fleet) == []
         assert ended.count("completed") == len(calls)
