--- a/benchmarks/balancing_choice.py
+++ b/benchmarks/balancing_choice.py
@@ -17,10 +17,10 @@
     target_key,
 )
 from baobabring.model import (
-    Answer,
     Answered,
     Configuration,
     LoadReport,
+    Response,
     Service,
     Target,
 )
@@ -33,7 +33,7 @@
 ROUNDS = 7
 CHOICES_PER_ROUND = 2_000
 SIZES = ((26, 12), (500, 25), (5_000, 25), (5_000, 5_000))
-ANSWER = Answered(Answer(200, (), b""), LoadReport(1, SLOTS, False, False), 20.0)
+ANSWER = Answered(Response(200, (), b""), LoadReport(1, SLOTS, False, False), 20.0)
 
 
 def make_balancer(target_count: int, service_size: int, policy: str) -> Balancer:
@@ -101,8 +101,8 @@
         started = time.perf_counter()
         for _ in range(CHOICES_PER_ROUND):
             target_id = balancer.choose(service_id, now_s)
-            balancer.attempt_started(target_id, now_s)
-            balancer.attempt_ended(target_id, ANSWER, now_s)
+            balancer.record_attempt_start(target_id, now_s)
+            balancer.record_attempt_end(target_id, ANSWER, now_s)
         attempt_us.append(_microseconds_each(started))
         now_s += 0.02
     return median(choice_us), median(attempt_us)
@@ -128,11 +128,11 @@
         elapsed = 0.0
         for number in range(CHOICES_PER_ROUND):
             now_s += 0.05
-            balancer.attempt_started(f"target-{number % target_count}", now_s)
+            balancer.record_attempt_start(f"target-{number % target_count}", now_s)
             started = time.perf_counter()
             encode_message(balancer.sharing.pop_due_update(now_s))
             elapsed += time.perf_counter() - started
-            balancer.attempt_ended(f"target-{number % target_count}", None, now_s)
+            balancer.record_attempt_end(f"target-{number % target_count}", None, now_s)
         outgoing_us.append(1e6 * elapsed / CHOICES_PER_ROUND)
     return median(outgoing_us), median(apply_us)
 
--- a/benchmarks/capacity_claims.py
+++ b/benchmarks/capacity_claims.py
@@ -6,7 +6,7 @@
 
 import uuid_utils
 from baobabring.claims import ClaimCoordinator, ClaimSettings, create_claim_coordinator
-from baobabring.model import Answer
+from baobabring.model import Response
 from baobabring.platform import Appended, LogRecord, Page
 from capacity_slopes import NS_PER_S, fit_slope, memory_slope, print_slopes
 
@@ -41,7 +41,7 @@
         written_bytes = 0
         while appends := self.coordinator.pop_due_appends(self.now_s):
             for append in appends:
-                offset = self.coordinator.next_offset(0)
+                offset = self.coordinator.get_next_offset(0)
                 written_bytes += len(append.payload)
                 self._read((LogRecord(offset, self.now_s, append.payload),))
                 self.coordinator.record_append_outcome(
@@ -50,7 +50,7 @@
         return written_bytes
 
     def _read(self, records: tuple[LogRecord, ...]) -> None:
-        offset = self.coordinator.next_offset(0)
+        offset = self.coordinator.get_next_offset(0)
         page = Page(0, offset + len(records), records)
         self.pages.append(page)
         self.coordinator.apply_page(0, page, self.now_s, self.now_s)
@@ -67,7 +67,7 @@
     keys = [str(uuid_utils.uuid7()) for _ in range(count)]
     holder = make_coordinator(1)
     stream = Stream(holder, now_s)
-    answer = Answer(200, (("content-type", "application/json"),), BODY)
+    answer = Response(200, (("content-type", "application/json"),), BODY)
     started_s = time.perf_counter()
     for key in keys:
         holder.request(
--- a/benchmarks/capacity_membership.py
+++ b/benchmarks/capacity_membership.py
@@ -63,7 +63,12 @@
 
 def main() -> None:
     """Print the slopes."""
-    calls = ("live", "members", "suspected_peers", "reachable_share")
+    calls = (
+        "get_live_instances",
+        "get_members",
+        "suspected_peers",
+        "get_reachable_share",
+    )
     slopes = [
         time_slope(
             f"{call}, each instance",
--- a/benchmarks/claims_fold.py
+++ b/benchmarks/claims_fold.py
@@ -7,7 +7,6 @@
 
 from absl import app, flags
 from baobabring.claims import ClaimSettings, ClaimWon, create_claim_coordinator
-from baobabring.claims._answers import create_result_record
 from baobabring.claims._records import (
     Claim,
     Record,
@@ -15,8 +14,9 @@
     encode_batch,
     encode_record,
 )
+from baobabring.claims._responses import create_result_record
 from baobabring.claims._table import ClaimTable
-from baobabring.model import Answer
+from baobabring.model import Response
 from baobabring.platform import Appended, LogRecord, Page
 
 _NOW_S = 1_800_000_000.0
@@ -57,10 +57,10 @@
     )
 
 
-def make_answer(rng: random.Random) -> Answer:
+def make_answer(rng: random.Random) -> Response:
     """Return an answer with a body of the size that the flags ask for."""
     headers = (("Content-Type", "application/json"), ("Content-Length", "300"))
-    return Answer(201, headers, rng.randbytes(_BODY_BYTES.value))
+    return Response(201, headers, rng.randbytes(_BODY_BYTES.value))
 
 
 def make_result(rng: random.Random, claim: Claim, limit_bytes: int) -> Record:
@@ -166,7 +166,7 @@
         for append in self.claims.pop_due_appends(now_s):
             self.appends += 1
             self._at(now_s + _APPEND_S, "land", append)
-        next_s = self.claims.next_append_at_s(now_s)
+        next_s = self.claims.get_next_append_at_s(now_s)
         if next_s is not None and not now_s < self.wake_at_s <= next_s:
             self.wake_at_s = next_s
             self._at(next_s, "wake", None)
@@ -189,7 +189,7 @@
 
     def _read(self, partition: int, now_s: float) -> None:
         stream = self.streams[partition]
-        records = tuple(stream[self.claims.next_offset(partition) :])
+        records = tuple(stream[self.claims.get_next_offset(partition) :])
         page = Page(0, len(stream), records)
         for event in self.claims.apply_page(partition, page, now_s, now_s):
             if isinstance(event, ClaimWon):
--- a/packages/baobabring/baobabring/admission/_base.py
+++ b/packages/baobabring/baobabring/admission/_base.py
@@ -131,11 +131,11 @@
         """Remove a waiting call."""
 
     @abstractmethod
-    def backlog(self, service_id: str) -> int:
+    def get_backlog(self, service_id: str) -> int:
         """Return the number of calls that wait for the service."""
 
     @abstractmethod
-    def waiting_services(self) -> list[str]:
+    def get_waiting_services(self) -> list[str]:
         """Return the services for which calls wait."""
 
     def set_capacity(self, service_id: str, concurrent_calls: int) -> None:
@@ -145,7 +145,7 @@
         self.estimates.set_capacity(service_id, concurrent_calls)
 
     def record_service_time(self, service_id: str, service_time_ms: float) -> None:
-        """Record the time that a target took for a complete answer."""
+        """Record the time that a target took for a complete response."""
         if not service_time_ms >= 0:
             raise ValueError(f"service_time_ms must be >= 0, got {service_time_ms}")
         self.estimates.add_sample(service_id, service_time_ms)
@@ -209,14 +209,16 @@
                 expired.append(call_id)
         return expired
 
-    def retry_at_s(self, service_id: str, now_s: float) -> float:
+    def get_retry_at_s(self, service_id: str, now_s: float) -> float:
         """Estimate when the backlog has drained, with jitter to spread the retries."""
-        delay_s = self._drain_time_s(service_id, self.backlog(service_id) + 1, now_s)
+        delay_s = self._drain_time_s(
+            service_id, self.get_backlog(service_id) + 1, now_s
+        )
         delay_s = max(delay_s, MIN_RETRY_DELAY_S)
         return now_s + delay_s * self.rng.uniform(1.0, 1.5)
 
     def _drain_time_s(self, service_id: str, calls: int, now_s: float) -> float:
-        capacity = self.estimates.capacity(service_id)
+        capacity = self.estimates.get_capacity(service_id)
         if capacity == 0:
             return NO_CAPACITY_RETRY_DELAY_S
         return calls * self.estimates.service_time_s(service_id, now_s) / capacity
@@ -225,7 +227,7 @@
         self, waiting: WaitingCall, position: int, now_s: float
     ) -> bool:
         service_id = waiting.service_id
-        if position and self.estimates.capacity(service_id) == 0:
+        if position and self.estimates.get_capacity(service_id) == 0:
             return False
         wait_s = self._drain_time_s(service_id, position, now_s) if position else 0.0
         service_time_s = self.estimates.service_time_s(service_id, now_s)
--- a/packages/baobabring/baobabring/admission/_estimates.py
+++ b/packages/baobabring/baobabring/admission/_estimates.py
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True)
 class _Estimate:
-    """Represent a moving average and the time of its last known new sample."""
+    """Represent a moving average; a read after a new sample sets `last_fresh_at_s`."""
 
     mean_ms: float
     has_new_sample: bool
@@ -31,7 +31,7 @@
         """Set the number of concurrent calls that may be sent to the service."""
         self._capacities[service_id] = concurrent_calls
 
-    def capacity(self, service_id: str) -> int:
+    def get_capacity(self, service_id: str) -> int:
         """Return the number of concurrent calls that may be sent to the service."""
         return self._capacities.get(service_id, self.default_capacity)
 
--- a/packages/baobabring/baobabring/admission/_fair.py
+++ b/packages/baobabring/baobabring/admission/_fair.py
@@ -25,10 +25,10 @@
 
     def __init__(self, settings: AdmissionSettings, rng: random.Random) -> None:
         super().__init__(settings, rng)
-        self._services: dict[str, RoundRobinQueue] = {}
+        self._queues: dict[str, RoundRobinQueue] = {}
 
     def _admit(self, waiting: WaitingCall, now_s: float) -> OfferResult:
-        queue = self._services.setdefault(waiting.service_id, RoundRobinQueue())
+        queue = self._queues.setdefault(waiting.service_id, RoundRobinQueue())
         position = queue.next_position(waiting.priority, waiting.tenant)
         if not self._can_meet_deadline(waiting, position, now_s):
             return self._refuse(waiting, now_s)
@@ -60,27 +60,27 @@
     ) -> Evicted:
         queue.remove(victim)
         del self._calls[victim.call_id]
-        return Evicted(victim.call_id, self.retry_at_s(victim.service_id, now_s))
+        return Evicted(victim.call_id, self.get_retry_at_s(victim.service_id, now_s))
 
     def _refuse(self, waiting: WaitingCall, now_s: float) -> Refused:
-        return Refused(self.retry_at_s(waiting.service_id, now_s))
+        return Refused(self.get_retry_at_s(waiting.service_id, now_s))
 
     def _pop_next(self, service_id: str) -> WaitingCall | None:
-        queue = self._services.get(service_id)
+        queue = self._queues.get(service_id)
         return queue.pop() if queue else None
 
     def _prepend(self, waiting: WaitingCall) -> None:
-        queue = self._services.setdefault(waiting.service_id, RoundRobinQueue())
+        queue = self._queues.setdefault(waiting.service_id, RoundRobinQueue())
         queue.prepend(waiting)
 
     def _discard(self, waiting: WaitingCall) -> None:
-        self._services[waiting.service_id].remove(waiting)
+        self._queues[waiting.service_id].remove(waiting)
 
-    def backlog(self, service_id: str) -> int:
+    def get_backlog(self, service_id: str) -> int:
         """Return the number of calls that wait for the service."""
-        queue = self._services.get(service_id)
+        queue = self._queues.get(service_id)
         return len(queue) if queue is not None else 0
 
-    def waiting_services(self) -> list[str]:
+    def get_waiting_services(self) -> list[str]:
         """Return the services for which calls wait."""
-        return [service_id for service_id, queue in self._services.items() if queue]
+        return [service_id for service_id, queue in self._queues.items() if queue]
--- a/packages/baobabring/baobabring/admission/_fifo.py
+++ b/packages/baobabring/baobabring/admission/_fifo.py
@@ -27,7 +27,7 @@
         position = len(queue) + 1
         full = len(queue) >= self.settings.service_limit
         if full or not self._can_meet_deadline(waiting, position, now_s):
-            return Refused(self.retry_at_s(waiting.service_id, now_s))
+            return Refused(self.get_retry_at_s(waiting.service_id, now_s))
         queue.append(waiting)
         return Queued(position)
 
@@ -41,10 +41,10 @@
     def _discard(self, waiting: WaitingCall) -> None:
         self._queues[waiting.service_id].remove(waiting)
 
-    def backlog(self, service_id: str) -> int:
+    def get_backlog(self, service_id: str) -> int:
         """Return the number of calls that wait for the service."""
         return len(self._queues.get(service_id, ()))
 
-    def waiting_services(self) -> list[str]:
+    def get_waiting_services(self) -> list[str]:
         """Return the services for which calls wait."""
         return [service_id for service_id, queue in self._queues.items() if queue]
--- a/packages/baobabring/baobabring/admission/_round_robin.py
+++ b/packages/baobabring/baobabring/admission/_round_robin.py
@@ -37,14 +37,14 @@
         """Add a call behind its tenant's other calls."""
         level = self._levels.setdefault(waiting.priority, OrderedDict())
         level.setdefault(waiting.tenant, deque()).append(waiting)
-        self._count(waiting, 1)
+        self._update_lengths(waiting, 1)
 
     def prepend(self, waiting: WaitingCall) -> None:
         """Add a call ahead of its tenant's other calls and serve the tenant next."""
         level = self._levels.setdefault(waiting.priority, OrderedDict())
         level.setdefault(waiting.tenant, deque()).appendleft(waiting)
         level.move_to_end(waiting.tenant, last=False)
-        self._count(waiting, 1)
+        self._update_lengths(waiting, 1)
 
     def pop(self) -> WaitingCall | None:
         """Remove and return the next call."""
@@ -55,14 +55,14 @@
         waiting = queue.popleft()
         level.move_to_end(tenant)
         self._drop_empty(waiting)
-        self._count(waiting, -1)
+        self._update_lengths(waiting, -1)
         return waiting
 
     def remove(self, waiting: WaitingCall) -> None:
         """Remove a waiting call."""
         self._levels[waiting.priority][waiting.tenant].remove(waiting)
         self._drop_empty(waiting)
-        self._count(waiting, -1)
+        self._update_lengths(waiting, -1)
 
     def find_victim_of_tenant(self, priority: int, tenant: str) -> WaitingCall | None:
         """Return the tenant's last call of its lowest priority below `priority`."""
@@ -74,7 +74,10 @@
         return None
 
     def find_victim_below(self, priority: int) -> WaitingCall | None:
-        """Return the last call of the lowest priority's longest queue, if lower."""
+        """Return a call to evict whose priority is below `priority`, or None.
+
+        It is the last call in the longest queue of the lowest priority.
+        """
         lowest = max(self._levels, default=priority)
         if lowest <= priority:
             return None
@@ -83,7 +86,11 @@
     def find_victim_of_longer_queue(
         self, priority: int, tenant: str
     ) -> WaitingCall | None:
-        """Return the last call of a queue over one call longer than the tenant's."""
+        """Return a call to evict from a longer queue than the tenant's, or None.
+
+        It is the last call in the longest queue of the priority, if that queue is more
+        than one call longer than the tenant's.
+        """
         level = self._levels.get(priority, OrderedDict())
         longest = max(level.values(), key=len, default=())
         if len(longest) <= len(level.get(tenant, ())) + 1:
@@ -91,7 +98,7 @@
         return longest[-1]
 
     def _count_ahead(self, priority: int, tenant: str, own: int) -> int:
-        """Count the calls ahead of the tenant's call that has `own` calls ahead."""
+        """Count the calls ahead of the call at index `own` of the tenant's queue."""
         ahead = own
         for level_priority, level in self._levels.items():
             if level_priority < priority:
@@ -108,7 +115,7 @@
         if not level:
             del self._levels[waiting.priority]
 
-    def _count(self, waiting: WaitingCall, change: int) -> None:
+    def _update_lengths(self, waiting: WaitingCall, change: int) -> None:
         self._length += change
         self._tenant_lengths[waiting.tenant] += change
         if not self._tenant_lengths[waiting.tenant]:
--- a/packages/baobabring/baobabring/admission/tests/test_fair.py
+++ b/packages/baobabring/baobabring/admission/tests/test_fair.py
@@ -96,7 +96,7 @@
     offer_many(queue, "a", 4)
     queued = queue.offer(make_call("b0", "b"), NOW_S)
     assert [evicted.call_id for evicted in queued.evicted] == ["a3"]
-    assert queue.backlog("menu") == 4
+    assert queue.get_backlog("menu") == 4
 
 
 def test_full_service_refuses_its_busiest_tenant():
@@ -128,7 +128,7 @@
     queue.offer(make_call("a0", time_left_s=0.5), NOW_S)
     assert queue.expire(NOW_S + 0.39) == []
     assert queue.expire(NOW_S + 0.41) == ["a0"]
-    assert queue.waiting_services() == []
+    assert queue.get_waiting_services() == []
 
 
 def test_pop_next_skips_calls_too_late_and_expire_returns_them():
@@ -222,11 +222,11 @@
                 waiting.discard(call_id)
         else:
             waiting -= set(queue.expire(now_s))
-        assert queue.backlog("menu") <= 8
+        assert queue.get_backlog("menu") <= 8
     expired = queue.expire(now_s)
     assert len(expired) == len(set(expired))
     waiting -= set(expired)
-    assert queue.backlog("menu") == len(waiting)
+    assert queue.get_backlog("menu") == len(waiting)
     assert set(queue.expire(now_s + 99)) == waiting
 
 
@@ -235,7 +235,7 @@
     offer_many(queue, "a", 2)
     assert queue.expire(NOW_S + 0.4) == []
     assert queue.expire(NOW_S + 0.6) == ["a0", "a1"]
-    assert queue.backlog("menu") == 0
+    assert queue.get_backlog("menu") == 0
 
 
 def test_requeued_call_keeps_its_arrival_time():
--- a/packages/baobabring/baobabring/admission/tests/test_fifo.py
+++ b/packages/baobabring/baobabring/admission/tests/test_fifo.py
@@ -24,7 +24,7 @@
     assert queue.offer(make_call("a"), 0.0) == Queued(1)
     assert queue.offer(make_call("b", priority=0), 0.0) == Queued(2)
     assert isinstance(queue.offer(make_call("c"), 0.0), Refused)
-    assert queue.waiting_services() == ["menu"]
+    assert queue.get_waiting_services() == ["menu"]
     assert [queue.pop_next("menu", 0.0) for _ in range(3)] == ["a", "b", None]
 
 
--- a/packages/baobabring/baobabring/balancing/_balancer.py
+++ b/packages/baobabring/baobabring/balancing/_balancer.py
@@ -162,7 +162,7 @@
         """Return a target's description; raises KeyError if it is unknown."""
         return self._entries[target_id].target
 
-    def attempt_started(
+    def record_attempt_start(
         self, target_id: str, now_s: float, deadline_s: float = float("inf")
     ) -> float:
         """Record the start of an attempt, and return the deadline that it must meet.
@@ -182,7 +182,7 @@
         self.sharing.record_count(candidate)
         return deadline_s
 
-    def attempt_ended(
+    def record_attempt_end(
         self, target_id: str, outcome: AttemptOutcome | None, now_s: float
     ) -> None:
         """Record the end of an attempt; the outcome is None if it was cancelled."""
@@ -301,7 +301,7 @@
             entry.update_limits(self._settings.oversubscription)
             entry.in_use = (
                 target.state is TargetState.ACTIVE
-                and configuration.zone_state(target.zone) is ZoneState.IN
+                and configuration.get_zone_state(target.zone) is ZoneState.IN
             )
             state.entries[target.target_id] = entry
             self._entries[target.target_id] = entry
--- a/packages/baobabring/baobabring/balancing/tests/fakes.py
+++ b/packages/baobabring/baobabring/balancing/tests/fakes.py
@@ -4,10 +4,10 @@
 
 from baobabring.balancing import Balancer, BalancingSettings, create_balancer
 from baobabring.model import (
-    Answer,
     Answered,
     Configuration,
     LoadReport,
+    Response,
     Service,
     Target,
     TargetState,
@@ -35,7 +35,7 @@
 ) -> Answered:
     """Return a response with a load report, or without one if `cold` is None."""
     report = None if cold is None else LoadReport(1, 2, cold, False)
-    return Answered(Answer(status, (), b""), report, first_byte_ms)
+    return Answered(Response(status, (), b""), report, first_byte_ms)
 
 
 class FakeLog:
--- a/packages/baobabring/baobabring/balancing/tests/test_balancer.py
+++ b/packages/baobabring/baobabring/balancing/tests/test_balancer.py
@@ -31,9 +31,9 @@
     balancer = make_warm_balancer(count=1)
     for _ in range(2):
         assert balancer.choose("menu", 1.0) == "t0"
-        balancer.attempt_started("t0", 1.0)
+        balancer.record_attempt_start("t0", 1.0)
     assert balancer.choose("menu", 1.0) is None
-    balancer.attempt_ended("t0", make_answered(), 1.02)
+    balancer.record_attempt_end("t0", make_answered(), 1.02)
     assert balancer.has_capacity("menu", 1.02)
 
 
@@ -57,14 +57,14 @@
 def test_oversubscription_allows_more_calls_than_slots():
     balancer = make_warm_balancer(count=1, oversubscription=1.5)
     for _ in range(3):
-        balancer.attempt_started(balancer.choose("menu", 1.0), 1.0)
+        balancer.record_attempt_start(balancer.choose("menu", 1.0), 1.0)
     assert balancer.choose("menu", 1.0) is None
 
 
 def test_calls_wait_at_a_target_only_while_no_slot_is_free():
     balancer = make_warm_balancer(count=2, oversubscription=1.5)
     for _ in range(2):
-        balancer.attempt_started("t0", 1.0)
+        balancer.record_attempt_start("t0", 1.0)
     assert chosen_targets(balancer, 1.0) == {"t1"}
 
 
@@ -87,26 +87,26 @@
 )
 def test_target_out_of_use_gets_no_new_calls_and_finishes_its_calls(change):
     balancer = make_warm_balancer(count=2)
-    balancer.attempt_started("t0", 1.0)
+    balancer.record_attempt_start("t0", 1.0)
     balancer.configure(change, 1.1)
     assert chosen_targets(balancer, 1.1) == {"t1"}
-    balancer.attempt_ended("t0", make_answered(), 1.2)
+    balancer.record_attempt_end("t0", make_answered(), 1.2)
 
 
 def test_removed_target_is_kept_until_its_calls_end():
     balancer = make_warm_balancer(count=2)
-    balancer.attempt_started("t0", 1.0)
+    balancer.record_attempt_start("t0", 1.0)
     balancer.configure(make_configuration([make_target(1)], 2), 1.1)
     assert balancer.get_target("t0").target_id == "t0"
-    balancer.attempt_ended("t0", None, 1.2)
+    balancer.record_attempt_end("t0", None, 1.2)
     with pytest.raises(KeyError):
         balancer.get_target("t0")
 
 
 def test_calls_in_flight_survive_a_new_configuration():
     balancer = make_warm_balancer(count=1)
-    balancer.attempt_started("t0", 1.0)
-    balancer.attempt_started("t0", 1.0)
+    balancer.record_attempt_start("t0", 1.0)
+    balancer.record_attempt_start("t0", 1.0)
     balancer.configure(make_configuration([make_target(0), make_target(1)], 2), 1.1)
     assert balancer.choose("menu", 1.1) is None
 
@@ -114,21 +114,21 @@
 def test_failing_target_is_ejected_and_returns_with_one_call():
     balancer = make_warm_balancer(count=4)
     for _ in range(5):
-        balancer.attempt_started("t0", 1.0)
-        balancer.attempt_ended("t0", make_answered(status=500), 1.0)
+        balancer.record_attempt_start("t0", 1.0)
+        balancer.record_attempt_end("t0", make_answered(status=500), 1.0)
     assert "t0" not in chosen_targets(balancer, 1.1)
     others = frozenset({"t1", "t2", "t3"})
     assert balancer.choose("menu", 2.5, others) == "t0"
-    balancer.attempt_started("t0", 2.5)
+    balancer.record_attempt_start("t0", 2.5)
     assert balancer.choose("menu", 2.5, others) is None
-    balancer.attempt_ended("t0", make_answered(), 2.5)
+    balancer.record_attempt_end("t0", make_answered(), 2.5)
 
 
 def test_unreachable_target_returns_through_a_cold_start():
     balancer = make_warm_balancer(count=4)
     for _ in range(5):
-        balancer.attempt_started("t0", 1.0)
-        balancer.attempt_ended("t0", Shed(None, False), 1.0)
+        balancer.record_attempt_start("t0", 1.0)
+        balancer.record_attempt_end("t0", Shed(None, False), 1.0)
     assert chosen_targets(balancer, 2.5) == {"t1", "t2", "t3"}
     assert balancer.cold_start.pop_due_proposal(3.0) is not None
 
@@ -163,8 +163,8 @@
     balancer = make_warm_balancer(count=4)
     for _ in range(10):
         for index in range(4):
-            balancer.attempt_started(f"t{index}", 1.0)
-            balancer.attempt_ended(f"t{index}", Lost(Reason.CONNECTION_LOST), 1.0)
+            balancer.record_attempt_start(f"t{index}", 1.0)
+            balancer.record_attempt_end(f"t{index}", Lost(Reason.CONNECTION_LOST), 1.0)
     assert len(chosen_targets(balancer, 1.0)) >= 2
 
 
--- a/packages/baobabring/baobabring/balancing/tests/test_cold_start.py
+++ b/packages/baobabring/baobabring/balancing/tests/test_cold_start.py
@@ -37,8 +37,8 @@
 
 
 def turn_cold(balancer, log: FakeLog, now_s: float) -> None:
-    balancer.attempt_started("t0", now_s)
-    balancer.attempt_ended("t0", make_answered(cold=True), now_s)
+    balancer.record_attempt_start("t0", now_s)
+    balancer.record_attempt_end("t0", make_answered(cold=True), now_s)
     sync_with_log(balancer, log, now_s + 0.3)
 
 
@@ -57,12 +57,12 @@
     balancer.choose("menu", 0.0)
     sync_with_log(balancer, log, 0.1)
     assert balancer.choose("menu", 0.2) == "t0"
-    balancer.attempt_started("t0", 0.2)
+    balancer.record_attempt_start("t0", 0.2)
     assert balancer.choose("menu", 0.2) is None
-    balancer.attempt_ended("t0", make_answered(), 0.25)
+    balancer.record_attempt_end("t0", make_answered(), 0.25)
     sync_with_log(balancer, log, 0.3)
     for _ in range(4):
-        balancer.attempt_started(balancer.choose("menu", 0.3), 0.3)
+        balancer.record_attempt_start(balancer.choose("menu", 0.3), 0.3)
 
 
 def test_attempt_on_a_cold_target_ends_with_the_lease():
@@ -70,7 +70,7 @@
     balancer = make_cold_balancer(log)
     balancer.choose("menu", 0.0)
     sync_with_log(balancer, log, 0.1)
-    assert balancer.attempt_started("t0", 0.2, 60.0) == 10.1
+    assert balancer.record_attempt_start("t0", 0.2, 60.0) == 10.1
 
 
 def test_no_call_starts_without_the_log():
@@ -101,8 +101,8 @@
     warm_up(first, log, 0.5)
     second.cold_start.apply_page(log.page(), 1.0)
     assert second.choose("menu", 2.0) == "t0"
-    first.attempt_started("t0", 2.0)
-    first.attempt_ended("t0", make_answered(cold=True), 2.0)
+    first.record_attempt_start("t0", 2.0)
+    first.record_attempt_end("t0", make_answered(cold=True), 2.0)
     assert first.choose("menu", 2.0) is None
     second.sharing.apply(first.sharing.pop_due_update(2.0), 2.0)
     assert second.choose("menu", 2.0) is None
@@ -124,8 +124,8 @@
     for step in range(1, 6):
         at_s = now_s + 0.1 * step
         assert balancer.choose("menu", at_s) == "t0"
-        balancer.attempt_started("t0", at_s)
-        balancer.attempt_ended("t0", make_answered(), at_s)
+        balancer.record_attempt_start("t0", at_s)
+        balancer.record_attempt_end("t0", make_answered(), at_s)
     sync_with_log(balancer, log, now_s + 1.0)
 
 
@@ -155,8 +155,8 @@
     balancer = make_cold_balancer(log)
     balancer.choose("menu", 0.0)
     sync_with_log(balancer, log, 0.1)
-    balancer.attempt_started("t0", 0.2, 3.0)
-    balancer.attempt_ended("t0", None, 0.3)
+    balancer.record_attempt_start("t0", 0.2, 3.0)
+    balancer.record_attempt_end("t0", None, 0.3)
     assert balancer.choose("menu", 2.9) is None
     assert balancer.choose("menu", 3.1) == "t0"
 
@@ -232,7 +232,7 @@
         self.running = [call for call in self.running if call[1] > self.now_s]
         for balancer, _ in ended:
             if balancer in self.balancers:
-                balancer.attempt_ended("t0", None, self.now_s)
+                balancer.record_attempt_end("t0", None, self.now_s)
 
     def perform(self, action: str, index: int, rng: Random) -> None:
         balancer = self.balancers[index]
@@ -240,7 +240,7 @@
         match action:
             case "call":
                 if balancer.choose("menu", now_s) is not None:
-                    deadline_s = balancer.attempt_started("t0", now_s)
+                    deadline_s = balancer.record_attempt_start("t0", now_s)
                     end_s = deadline_s - CLOCK_OFFSETS_S[index]
                     self.running.append((balancer, end_s))
                     self.calls += 1
@@ -266,7 +266,7 @@
         own = [call for call in self.running if call[0] is balancer]
         if own:
             self.running.remove(own[0])
-            balancer.attempt_ended("t0", make_answered(cold=True), now_s)
+            balancer.record_attempt_end("t0", make_answered(cold=True), now_s)
 
 
 def run_fleet(seed: int) -> FleetSimulation:
--- a/packages/baobabring/baobabring/balancing/tests/test_first_start.py
+++ b/packages/baobabring/baobabring/balancing/tests/test_first_start.py
@@ -37,11 +37,11 @@
         self.now_s += STEP_S
         for call in [call for call in self.running if call[0] <= self.now_s]:
             self.running.remove(call)
-            call[1].attempt_ended(call[2], make_answered(), self.now_s)
+            call[1].record_attempt_end(call[2], make_answered(), self.now_s)
         for balancer in self.busy:
             target_id = balancer.choose("menu", self.now_s)
             if target_id is not None:
-                balancer.attempt_started(target_id, self.now_s)
+                balancer.record_attempt_start(target_id, self.now_s)
                 end_s = self.now_s + SERVICE_S
                 self.running.append((end_s, balancer, target_id))
         for balancer in self.balancers:
--- a/packages/baobabring/baobabring/balancing/tests/test_sharing.py
+++ b/packages/baobabring/baobabring/balancing/tests/test_sharing.py
@@ -104,10 +104,10 @@
 
 def test_changes_are_coalesced():
     balancer = make_warm_balancer(share_interval_ms=5.0, share_idle_factor=1.0)
-    balancer.attempt_started("t0", 10.0)
+    balancer.record_attempt_start("t0", 10.0)
     assert balancer.sharing.pop_due_update(10.0) is not None
-    balancer.attempt_started("t1", 10.001)
-    balancer.attempt_started("t1", 10.002)
+    balancer.record_attempt_start("t1", 10.001)
+    balancer.record_attempt_start("t1", 10.002)
     assert balancer.sharing.pop_due_update(10.002) is None
     update = balancer.sharing.pop_due_update(10.006)
     assert update.counts == (TargetCount(target_key("t1"), 2),)
@@ -115,10 +115,10 @@
 
 def test_reverted_change_is_not_sent():
     balancer = make_warm_balancer(share_renew_ms=1_000.0)
-    balancer.attempt_started("t0", 10.0)
+    balancer.record_attempt_start("t0", 10.0)
     balancer.sharing.pop_due_update(10.0)
-    balancer.attempt_started("t1", 10.001)
-    balancer.attempt_ended("t1", None, 10.002)
+    balancer.record_attempt_start("t1", 10.001)
+    balancer.record_attempt_end("t1", None, 10.002)
     assert balancer.sharing.pop_due_update(10.1) is None
 
 
@@ -129,13 +129,13 @@
 
 def test_counts_are_not_sent_under_policies_that_ignore_them():
     balancer = make_warm_balancer(policy="random")
-    balancer.attempt_started("t0", 10.0)
+    balancer.record_attempt_start("t0", 10.0)
     assert balancer.sharing.pop_due_update(10.1) is None
 
 
 def test_unchanged_counts_are_confirmed_while_calls_are_in_flight():
     balancer = make_warm_balancer(share_renew_ms=50.0)
-    balancer.attempt_started("t0", 10.0)
+    balancer.record_attempt_start("t0", 10.0)
     balancer.sharing.pop_due_update(10.0)
     assert balancer.sharing.pop_due_update(10.06).counts == ()
 
@@ -147,9 +147,9 @@
     for step in range(10_000):
         now_s = 10.0 + 0.001 * step
         if step % 2:
-            balancer.attempt_ended("t0", None, now_s)
+            balancer.record_attempt_end("t0", None, now_s)
         else:
-            balancer.attempt_started("t0", now_s)
+            balancer.record_attempt_start("t0", now_s)
         if step % 5 == 0:
             update = balancer.sharing.pop_due_update(now_s)
             sent_bytes += len(encode_message(update)) if update else 0
@@ -160,6 +160,6 @@
     sequences = []
     for now_s in (10.0, 11.0):
         balancer = make_warm_balancer()
-        balancer.attempt_started("t0", now_s)
+        balancer.record_attempt_start("t0", now_s)
         sequences.append(balancer.sharing.pop_due_update(now_s).sequence)
     assert sequences[0] < sequences[1]
--- a/packages/baobabring/baobabring/callers/__init__.py
+++ b/packages/baobabring/baobabring/callers/__init__.py
@@ -4,11 +4,11 @@
 from baobabring.callers._requests import (
     CallerConnectionMiddleware,
     RejectedRequest,
-    encoded_path,
+    get_encoded_path,
     has_body,
     read_body,
 )
-from baobabring.callers._responses import CallResult, outcome_name
+from baobabring.callers._responses import CallResult, get_outcome_name
 from baobabring.callers._server import create_server_config
 
 __all__ = [
@@ -18,8 +18,8 @@
     "CallerConnectionMiddleware",
     "create_app",
     "create_server_config",
-    "encoded_path",
+    "get_encoded_path",
+    "get_outcome_name",
     "has_body",
-    "outcome_name",
     "read_body",
 ]
--- a/packages/baobabring/baobabring/callers/_requests.py
+++ b/packages/baobabring/baobabring/callers/_requests.py
@@ -119,7 +119,7 @@
         rule=route.rule,
         tenant=_get_tenant(request),
         method=request.method,
-        path=encoded_path(request),
+        path=get_encoded_path(request),
         headers=_decode_headers(request),
         body=body,
         key=request.get_header(KEY_HEADER),
@@ -142,7 +142,7 @@
     return tenant[:MAX_TENANT_CHARACTERS]
 
 
-def encoded_path(request: falcon.asgi.Request) -> str:
+def get_encoded_path(request: falcon.asgi.Request) -> str:
     """Return the path and query as the caller sent them."""
     path = request.scope["raw_path"].decode("ascii")
     query = request.scope["query_string"].decode("ascii")
--- a/packages/baobabring/baobabring/callers/_responses.py
+++ b/packages/baobabring/baobabring/callers/_responses.py
@@ -13,7 +13,7 @@
 REPLAYED_HEADER = "Baobab-Replayed"
 REQUEST_ID_HEADER = "Baobab-Request-Id"
 RETRY_AFTER_MS_HEADER = "Baobab-Retry-After-Ms"
-TRIES_HEADER = "Baobab-Tries"
+TRIED_TARGETS_HEADER = "Baobab-Tries"
 
 MS_PER_S = 1_000
 
@@ -52,7 +52,7 @@
     tried_targets: tuple[str, ...] = ()
 
 
-def outcome_name(outcome: CallOutcome) -> str:
+def get_outcome_name(outcome: CallOutcome) -> str:
     """Return the name that the outcome header and the metrics use."""
     if isinstance(outcome, Completed):
         return "completed"
@@ -62,20 +62,20 @@
 def write_response(response: falcon.Response, result: CallResult, now_s: float) -> None:
     """Set the status, headers and body of the response to a caller."""
     outcome = result.outcome
-    response.set_header(OUTCOME_HEADER, outcome_name(outcome))
+    response.set_header(OUTCOME_HEADER, get_outcome_name(outcome))
     response.set_header(REQUEST_ID_HEADER, result.call_id)
     if result.tried_targets:
-        response.set_header(TRIES_HEADER, ",".join(result.tried_targets))
+        response.set_header(TRIED_TARGETS_HEADER, ",".join(result.tried_targets))
     if isinstance(outcome, Completed):
         _write_completed(response, outcome)
     else:
-        _write_refusal(response, outcome, now_s)
+        _write_uncompleted(response, outcome, now_s)
 
 
 def _write_completed(response: falcon.Response, outcome: Completed) -> None:
-    response.status = outcome.answer.status
+    response.status = outcome.response.status
     response.content_type = None
-    for name, value in outcome.answer.headers:
+    for name, value in outcome.response.headers:
         if name.lower() == "content-type":
             response.content_type = value
         else:
@@ -84,10 +84,10 @@
         response.set_header(REPLAYED_HEADER, "1")
     if not outcome.body_kept:
         response.set_header(BODY_KEPT_HEADER, "0")
-    response.data = outcome.answer.body
+    response.data = outcome.response.body
 
 
-def _write_refusal(response: falcon.Response, outcome, now_s: float) -> None:
+def _write_uncompleted(response: falcon.Response, outcome, now_s: float) -> None:
     reason = outcome.reason
     if isinstance(outcome, NotRun):
         response.status = NOT_RUN_STATUSES.get(reason, DEFAULT_NOT_RUN_STATUS)
@@ -98,4 +98,4 @@
         wait_s = max(outcome.retry_at_s - now_s, 0.0)
         response.set_header("Retry-After", str(math.ceil(wait_s)))
         response.set_header(RETRY_AFTER_MS_HEADER, str(math.ceil(wait_s * MS_PER_S)))
-    response.media = {"outcome": outcome_name(outcome), "reason": reason.value}
+    response.media = {"outcome": get_outcome_name(outcome), "reason": reason.value}
--- a/packages/baobabring/baobabring/callers/tests/test_app.py
+++ b/packages/baobabring/baobabring/callers/tests/test_app.py
@@ -10,19 +10,19 @@
 from baobabring.callers import CallHandler, CallResult, create_app
 from baobabring.calls import Router
 from baobabring.model import (
-    Answer,
     Call,
     Completed,
     Configuration,
     NotRun,
     Reason,
+    Response,
     Service,
     Unknown,
 )
 
 BODY_LIMIT_BYTES = 1_000
 CONFIGURATION = Configuration(1, {"menu": Service("menu", "/menu", (), ())})
-ANSWER = Answer(201, (("Content-Type", "text/x"), ("X-Own", "1")), b"lunch")
+RESPONSE = Response(201, (("Content-Type", "text/x"), ("X-Own", "1")), b"lunch")
 
 
 class FakeHandler(CallHandler):
@@ -124,7 +124,7 @@
 
 async def test_completed_response_is_forwarded_with_outcome_headers():
     response = await serve_and_send(
-        FakeHandler(Completed(ANSWER)), build_get_request("/menu/1")
+        FakeHandler(Completed(RESPONSE)), build_get_request("/menu/1")
     )
     assert response.startswith(b"HTTP/1.1 201")
     for line in (
@@ -216,7 +216,7 @@
     ],
 )
 async def test_truncated_body_never_becomes_a_call(framing):
-    handler = FakeHandler(Completed(ANSWER))
+    handler = FakeHandler(Completed(RESPONSE))
     async with serving(handler) as port:
         _, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"POST /menu/1 HTTP/1.1\r\nHost: x\r\n" + framing)
@@ -250,7 +250,7 @@
 
 async def test_body_slower_than_the_timeout_never_becomes_a_call(monkeypatch):
     monkeypatch.setattr("baobabring.callers._app.BODY_TIMEOUT_S", 0.05)
-    handler = FakeHandler(Completed(ANSWER))
+    handler = FakeHandler(Completed(RESPONSE))
     head = b"POST /menu/1 HTTP/1.1\r\nHost: x\r\nConnection: close\r\n"
     async with serving(handler) as port:
         response = await send(port, head + b"Content-Length: 9\r\n\r\nhalf")
@@ -260,7 +260,7 @@
 
 
 async def test_instance_shutting_down_closes_connections_after_responses():
-    handler = FakeHandler(Completed(ANSWER))
+    handler = FakeHandler(Completed(RESPONSE))
     handler.is_shutting_down = lambda: True
     async with serving(handler) as port:
         # Without "Connection: close" in the request, only the server closes it.
--- a/packages/baobabring/baobabring/calls/__init__.py
+++ b/packages/baobabring/baobabring/calls/__init__.py
@@ -1,21 +1,21 @@
 """State machine of calls."""
 
 from baobabring.calls._commands import (
-    AnswerCall,
     CancelAttempt,
     Command,
+    FinishCall,
     StartAttempt,
 )
 from baobabring.calls._engine import CallEngine
-from baobabring.calls._routing import Route, Router, longest_deadline_ms
+from baobabring.calls._routing import Route, Router, get_longest_deadline_ms
 
 __all__ = [
-    "AnswerCall",
     "CallEngine",
     "CancelAttempt",
     "Command",
+    "FinishCall",
     "Route",
     "Router",
     "StartAttempt",
-    "longest_deadline_ms",
+    "get_longest_deadline_ms",
 ]
--- a/packages/baobabring/baobabring/calls/_claiming.py
+++ b/packages/baobabring/baobabring/calls/_claiming.py
@@ -1,6 +1,10 @@
 """Translation between claims of idempotency keys and outcomes of calls."""
 
-from baobabring.calls._state import CallState, fingerprint_call, replay_answer
+from baobabring.calls._state import (
+    CallState,
+    fingerprint_call,
+    outcome_from_kept_response,
+)
 from baobabring.claims import (
     ClaimCoordinator,
     ClaimEvent,
@@ -32,7 +36,7 @@
 def outcome_from_claim(event: ClaimEvent, now_s: float) -> CallOutcome | None:
     """Return the outcome of a call by its claim, or None while the call waits."""
     if isinstance(event, ClaimReplayed):
-        return replay_answer(event.answer)
+        return outcome_from_kept_response(event.response)
     if isinstance(event, ClaimUnknown):
         return Unknown(event.reason, now_s + UNKNOWN_RETRY_AFTER_S)
     if isinstance(event, ClaimRefused):
@@ -50,7 +54,7 @@
     if not state.claimed:
         claims.cancel(call_id, now_s)
     elif isinstance(outcome, Completed):
-        claims.finish_with_result(call_id, outcome.answer, now_s)
+        claims.finish_with_result(call_id, outcome.response, now_s)
     elif isinstance(outcome, NotRun):
         claims.finish_as_not_run(call_id, now_s)
     else:
--- a/packages/baobabring/baobabring/calls/_commands.py
+++ b/packages/baobabring/baobabring/calls/_commands.py
@@ -27,12 +27,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerCall:
-    """Return the final answer to a caller."""
+class FinishCall:
+    """End a call and return its final outcome to the caller."""
 
     call: Call
     outcome: CallOutcome
     tried_targets: tuple[str, ...]
 
 
-Command = StartAttempt | CancelAttempt | AnswerCall
+Command = StartAttempt | CancelAttempt | FinishCall
--- a/packages/baobabring/baobabring/calls/_engine.py
+++ b/packages/baobabring/baobabring/calls/_engine.py
@@ -12,9 +12,9 @@
     request_claim,
 )
 from baobabring.calls._commands import (
-    AnswerCall,
     CancelAttempt,
     Command,
+    FinishCall,
     StartAttempt,
 )
 from baobabring.calls._state import (
@@ -57,7 +57,7 @@
 
 
 class CallEngine:
-    """Decide what happens to each call, from its arrival to its final answer.
+    """Decide what happens to each call, from its arrival to its final outcome.
 
     Every method may add commands; the I/O code gets them from `drain_commands`.
     """
@@ -91,7 +91,7 @@
 
     @property
     def calls_in_progress(self) -> int:
-        """Return the number of calls without a final answer."""
+        """Return the number of calls without a final outcome."""
         return len(self._calls)
 
     def drain_commands(self) -> list[Command]:
@@ -105,7 +105,7 @@
         self._can_start_attempts = allowed
         if allowed:
             return
-        for service_id in self.queue.waiting_services():
+        for service_id in self.queue.get_waiting_services():
             while (call_id := self.queue.pop_next(service_id, now_s)) is not None:
                 self._refuse(self._calls[call_id], Reason.NOT_CONFIRMED, now_s)
 
@@ -138,8 +138,8 @@
         else:
             self._find_target(state, now_s)
 
-    def caller_left(self, call_id: str, now_s: float) -> None:
-        """End a call whose caller left, unless it has started and isn't idempotent."""
+    def on_caller_disconnect(self, call_id: str, now_s: float) -> None:
+        """End a call on disconnect, unless it has started and isn't idempotent."""
         state = self._calls.get(call_id)
         if state is None:
             return
@@ -150,7 +150,7 @@
         else:
             self._refuse(state, Reason.CALLER_LEFT, now_s)
 
-    def attempt_ended(
+    def record_attempt_end(
         self, call_id: str, attempt: int, outcome: AttemptOutcome, now_s: float
     ) -> None:
         """Record the end of an attempt and retry or finish its call."""
@@ -160,13 +160,13 @@
         running = state.running.pop(attempt, None)
         if running is None:
             return
-        self.balancer.attempt_ended(running.target_id, outcome, now_s)
+        self.balancer.record_attempt_end(running.target_id, outcome, now_s)
         if isinstance(outcome, Answered):
-            self._attempt_answered(state, running, outcome, now_s)
+            self._on_attempt_answered(state, running, outcome, now_s)
         elif isinstance(outcome, Shed):
-            self._attempt_shed(state, now_s)
+            self._on_attempt_shed(state, now_s)
         else:
-            self._attempt_lost(state, outcome, now_s)
+            self._on_attempt_lost(state, outcome, now_s)
         self.dispatch_waiting(state.call.service_id, now_s)
 
     def apply_claim_events(self, events: Iterable[ClaimEvent], now_s: float) -> None:
@@ -183,8 +183,8 @@
         for call_id in self._timers.pop_due(now_s):
             state = self._calls.get(call_id)
             if state is not None:
-                self._timer_fired(state, now_s)
-        for service_id in self.queue.waiting_services():
+                self._on_timer(state, now_s)
+        for service_id in self.queue.get_waiting_services():
             self.dispatch_waiting(service_id, now_s)
 
     def dispatch_waiting(self, service_id: str, now_s: float) -> None:
@@ -198,13 +198,13 @@
                 self.queue.requeue(state.waiting)
                 return
 
-    def _timer_fired(self, state: CallState, now_s: float) -> None:
+    def _on_timer(self, state: CallState, now_s: float) -> None:
         if state.call.deadline_s <= now_s:
-            self._deadline_passed(state, now_s)
+            self._on_deadline(state, now_s)
         elif self._can_hedge(state):
             self._hedge(state, now_s)
 
-    def _deadline_passed(self, state: CallState, now_s: float) -> None:
+    def _on_deadline(self, state: CallState, now_s: float) -> None:
         if state.dispatched:
             self._finish_unknown(state, Reason.DEADLINE, now_s)
         elif state.phase is not Phase.CLAIM:
@@ -234,7 +234,7 @@
 
     def _find_target(self, state: CallState, now_s: float) -> None:
         service_id = state.call.service_id
-        queue_empty = self.queue.backlog(service_id) == 0
+        queue_empty = self.queue.get_backlog(service_id) == 0
         if queue_empty and self._start_attempt(state, now_s):
             return
         self._wait_for_capacity(state, now_s)
@@ -270,7 +270,7 @@
         deadline_s = call.deadline_s
         if call.rule.idempotent:
             deadline_s = min(deadline_s, now_s + self.attempt_timeout_s)
-        deadline_s = self.balancer.attempt_started(target_id, now_s, deadline_s)
+        deadline_s = self.balancer.record_attempt_start(target_id, now_s, deadline_s)
         attempt = len(state.tried_targets)
         state.tried_targets.append(target_id)
         state.excluded_targets |= {target_id}
@@ -295,7 +295,7 @@
 
     # Ends of attempts
 
-    def _attempt_answered(
+    def _on_attempt_answered(
         self, state: CallState, running: RunningAttempt, outcome: Answered, now_s: float
     ) -> None:
         service_time_ms = (now_s - running.started_at_s) * 1_000
@@ -303,19 +303,19 @@
         self.queue.record_service_time(service_id, service_time_ms)
         self.hedge_policy.record_latency(service_id, service_time_ms)
         state.last_answered = outcome
-        failed = outcome.answer.status in RETRYABLE_STATUSES
+        failed = outcome.response.status in RETRYABLE_STATUSES
         if failed and state.call.rule.idempotent:
             self._retry_or_finish(state, now_s)
         else:
-            self._finish(state, Completed(outcome.answer), now_s)
+            self._finish(state, Completed(outcome.response), now_s)
 
-    def _attempt_shed(self, state: CallState, now_s: float) -> None:
+    def _on_attempt_shed(self, state: CallState, now_s: float) -> None:
         if not state.running and not state.may_have_run:
             # No attempt can have run, so the call may be reported as not run.
             state.dispatched = False
         self._retry_or_finish(state, now_s)
 
-    def _attempt_lost(self, state: CallState, lost: Lost, now_s: float) -> None:
+    def _on_attempt_lost(self, state: CallState, lost: Lost, now_s: float) -> None:
         state.last_lost = lost
         if state.call.rule.idempotent:
             self._retry_or_finish(state, now_s)
@@ -329,7 +329,7 @@
             if not self._start_attempt(state, now_s):
                 self._wait_for_capacity(state, now_s)
         elif state.last_answered is not None:
-            self._finish(state, Completed(state.last_answered.answer), now_s)
+            self._finish(state, Completed(state.last_answered.response), now_s)
         elif state.last_lost is not None:
             self._finish_unknown(state, state.last_lost.reason, now_s)
         else:
@@ -339,8 +339,8 @@
         call = state.call
         if call.deadline_s <= now_s or len(state.tried_targets) >= MAX_ATTEMPTS:
             return False
-        left = own_retries(call.retries_left) - (len(state.tried_targets) - 1)
-        return self.retry_budget.try_spend_retry(call.service_id, left, now_s)
+        retries_left = own_retries(call.retries_left) - (len(state.tried_targets) - 1)
+        return self.retry_budget.try_spend_retry(call.service_id, retries_left, now_s)
 
     # Hedges
 
@@ -363,7 +363,7 @@
         if self.retry_budget.try_spend_retry(call.service_id, call.retries_left, now_s):
             self._start_attempt(state, now_s)
 
-    # Final answers
+    # Final outcomes
 
     def _refuse(self, state: CallState, reason: Reason, now_s: float) -> None:
         retry_at_s = now_s + self.rng.uniform(MAX_RETRY_AFTER_S / 2, MAX_RETRY_AFTER_S)
@@ -378,9 +378,9 @@
         del self._calls[call.call_id]
         self.queue.remove(call.call_id)
         for attempt, running in state.running.items():
-            self.balancer.attempt_ended(running.target_id, None, now_s)
+            self.balancer.record_attempt_end(running.target_id, None, now_s)
             self._commands.append(CancelAttempt(call.call_id, attempt))
-        self._commands.append(AnswerCall(call, outcome, tuple(state.tried_targets)))
+        self._commands.append(FinishCall(call, outcome, tuple(state.tried_targets)))
         if call.key is not None and not call.rule.idempotent:
             finish_claim(self.claims, state, outcome, now_s)
         if state.running:
--- a/packages/baobabring/baobabring/calls/_routing.py
+++ b/packages/baobabring/baobabring/calls/_routing.py
@@ -42,8 +42,8 @@
         return None
 
 
-def longest_deadline_ms(configuration: Configuration) -> int:
-    """Return the longest time to its deadline that any call can have."""
+def get_longest_deadline_ms(configuration: Configuration) -> int:
+    """Return the longest time that any rule allows from arrival to deadline."""
     limits_ms = [
         rule.deadline_limit_ms
         for service in configuration.services.values()
--- a/packages/baobabring/baobabring/calls/_state.py
+++ b/packages/baobabring/baobabring/calls/_state.py
@@ -1,19 +1,19 @@
-"""State of one call between its arrival and its final answer."""
+"""State of one call between its arrival and its final outcome."""
 
 import hashlib
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
 from baobabring.admission import WaitingCall
-from baobabring.claims import KeptAnswer
+from baobabring.claims import KeptResponse
 from baobabring.model import (
-    Answer,
     Answered,
     Call,
     CallOutcome,
     Completed,
     Lost,
     NotRun,
+    Response,
     Unknown,
 )
 
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class CallState:
-    """Represent the state of a call until its final answer."""
+    """Represent the state of a call until its final outcome."""
 
     call: Call
     phase: Phase
@@ -73,16 +73,16 @@
     if not isinstance(outcome, NotRun) or not state.may_have_run:
         return outcome
     if state.last_answered is not None:
-        return Completed(state.last_answered.answer)
+        return Completed(state.last_answered.response)
     return Unknown(outcome.reason, outcome.retry_at_s)
 
 
-def replay_answer(kept: KeptAnswer) -> Completed:
-    """Return the outcome of a repeated call from the answer that was kept."""
+def outcome_from_kept_response(kept: KeptResponse) -> Completed:
+    """Return the outcome of a repeated call from the response that was kept."""
     # A body above the size limit was not kept; `body_kept` reports this.
     has_body = kept.body is not None
-    answer = Answer(kept.status, kept.headers, kept.body if has_body else b"")
-    return Completed(answer, replayed=True, body_kept=has_body)
+    response = Response(kept.status, kept.headers, kept.body if has_body else b"")
+    return Completed(response, replayed=True, body_kept=has_body)
 
 
 def fingerprint_call(call: Call) -> bytes:
--- a/packages/baobabring/baobabring/calls/tests/fakes.py
+++ b/packages/baobabring/baobabring/calls/tests/fakes.py
@@ -5,9 +5,9 @@
 
 from baobabring.admission import AdmissionSettings, create_admission_queue
 from baobabring.balancing.tests.fakes import make_warm_balancer
-from baobabring.calls import AnswerCall, CallEngine, CancelAttempt, StartAttempt
+from baobabring.calls import CallEngine, CancelAttempt, FinishCall, StartAttempt
 from baobabring.claims import ClaimPending, ClaimWon
-from baobabring.model import Answer, Answered, Call, KeyRule, Rule
+from baobabring.model import Answered, Call, KeyRule, Response, Rule
 from baobabring.retries import (
     HedgePolicy,
     RetrySettings,
@@ -17,8 +17,8 @@
 
 START_S = 10.0
 ATTEMPT_TIMEOUT_S = 1.0
-OK = Answered(Answer(200, (), b"ok"), None, 1.0)
-ERROR_ANSWER = Answered(Answer(500, (), b"bad"), None, 1.0)
+OK = Answered(Response(200, (), b"ok"), None, 1.0)
+ERROR_RESPONSE = Answered(Response(500, (), b"bad"), None, 1.0)
 
 
 class FixedDelayHedge(HedgePolicy):
@@ -52,7 +52,9 @@
         """Return the value that the test has set."""
         return self.dispatch_allowed
 
-    def finish_with_result(self, call_id: str, answer: Answer, now_s: float) -> None:
+    def finish_with_result(
+        self, call_id: str, response: Response, now_s: float
+    ) -> None:
         """Record a result."""
         self.ended[call_id] = "result"
 
@@ -93,7 +95,7 @@
         self.now_s = START_S
         self.started: list[StartAttempt] = []
         self.cancelled: list[CancelAttempt] = []
-        self.answers: dict[str, AnswerCall] = {}
+        self.finished: dict[str, FinishCall] = {}
         self.engine.allow_attempts(True, self.now_s)
         self.engine.update_capacity_shares(("menu",), 1, self.now_s)
 
@@ -127,12 +129,12 @@
 
     def end_attempt(self, call_id: str, attempt: int, outcome) -> None:
         """End an attempt."""
-        self.engine.attempt_ended(call_id, attempt, outcome, self.now_s)
+        self.engine.record_attempt_end(call_id, attempt, outcome, self.now_s)
         self._collect()
 
     def disconnect_caller(self, call_id: str) -> None:
         """Disconnect a caller."""
-        self.engine.caller_left(call_id, self.now_s)
+        self.engine.on_caller_disconnect(call_id, self.now_s)
         self._collect()
 
     def allow_attempts(self, allowed: bool) -> None:
@@ -148,8 +150,8 @@
 
     def outcome(self, call_id: str):
         """Return the final outcome of a call, or None."""
-        answer = self.answers.get(call_id)
-        return None if answer is None else answer.outcome
+        command = self.finished.get(call_id)
+        return None if command is None else command.outcome
 
     def _collect(self) -> None:
         for command in self.engine.drain_commands():
@@ -158,5 +160,5 @@
             elif isinstance(command, CancelAttempt):
                 self.cancelled.append(command)
             else:
-                assert command.call.call_id not in self.answers
-                self.answers[command.call.call_id] = command
+                assert command.call.call_id not in self.finished
+                self.finished[command.call.call_id] = command
--- a/packages/baobabring/baobabring/calls/tests/test_engine.py
+++ b/packages/baobabring/baobabring/calls/tests/test_engine.py
@@ -3,12 +3,12 @@
 import pytest
 
 from baobabring.calls.tests.fakes import (
-    ERROR_ANSWER,
+    ERROR_RESPONSE,
     OK,
     EngineHarness,
     FixedDelayHedge,
 )
-from baobabring.claims import ClaimReplayed, KeptAnswer
+from baobabring.claims import ClaimReplayed, KeptResponse
 from baobabring.model import (
     Completed,
     KeyRule,
@@ -23,11 +23,11 @@
 LOST = Lost(Reason.CONNECTION_LOST)
 
 
-def test_answer_of_a_target_completes_the_call():
+def test_response_of_a_target_completes_the_call():
     harness = EngineHarness()
     harness.add_call("a")
     harness.end_attempt("a", 0, OK)
-    assert harness.outcome("a") == Completed(OK.answer)
+    assert harness.outcome("a") == Completed(OK.response)
 
 
 def test_call_that_no_target_ran_is_refused_as_not_run():
@@ -73,20 +73,20 @@
     assert isinstance(harness.outcome("a"), Unknown)
 
 
-def test_error_answer_is_returned_if_no_retry_succeeds():
+def test_error_response_is_returned_if_no_retry_succeeds():
     harness = EngineHarness()
     harness.add_call("a")
-    harness.end_attempt("a", 0, ERROR_ANSWER)
+    harness.end_attempt("a", 0, ERROR_RESPONSE)
     harness.end_attempt("a", 1, SHED)
     harness.end_attempt("a", 2, SHED)
-    assert harness.outcome("a") == Completed(ERROR_ANSWER.answer)
+    assert harness.outcome("a") == Completed(ERROR_RESPONSE.response)
 
 
-def test_error_answer_of_a_call_that_is_not_idempotent_is_final():
+def test_error_response_of_a_call_that_is_not_idempotent_is_final():
     harness = EngineHarness()
     harness.add_call("a", KeyRule.OPTIONAL)
-    harness.end_attempt("a", 0, ERROR_ANSWER)
-    assert harness.outcome("a") == Completed(ERROR_ANSWER.answer)
+    harness.end_attempt("a", 0, ERROR_RESPONSE)
+    assert harness.outcome("a") == Completed(ERROR_RESPONSE.response)
 
 
 def test_call_without_a_required_key_is_refused():
@@ -198,12 +198,12 @@
 
 
 @pytest.mark.parametrize(("kept", "body_kept"), [(b"ok", True), (None, False)])
-def test_repeated_call_gets_the_kept_answer(kept, body_kept):
+def test_repeated_call_gets_the_kept_response(kept, body_kept):
     harness = EngineHarness()
-    event = ClaimReplayed("a", KeptAnswer(200, (), kept, None))
+    event = ClaimReplayed("a", KeptResponse(200, (), kept, None))
     harness.claims.request = lambda **_: event
     harness.add_call("a", KeyRule.REQUIRED, "key")
     outcome = harness.outcome("a")
-    assert outcome.answer.body == (kept or b"")
+    assert outcome.response.body == (kept or b"")
     assert (outcome.replayed, outcome.body_kept) == (True, body_kept)
     assert harness.started == []
--- a/packages/baobabring/baobabring/calls/tests/test_engine_properties.py
+++ b/packages/baobabring/baobabring/calls/tests/test_engine_properties.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from baobabring.calls.tests.fakes import (
-    ERROR_ANSWER,
+    ERROR_RESPONSE,
     OK,
     EngineHarness,
     FixedDelayHedge,
@@ -13,7 +13,7 @@
 
 OUTCOMES = (
     OK,
-    ERROR_ANSWER,
+    ERROR_RESPONSE,
     Shed(report=None, reached_target=True),
     Shed(report=None, reached_target=False),
     Lost(Reason.CONNECTION_LOST),
@@ -98,13 +98,13 @@
 @given(st.lists(STEPS, max_size=60))
 def test_every_call_ends_with_one_correct_outcome(steps):
     simulation = run_steps(steps)
-    answers = simulation.harness.answers
-    assert set(answers) == {str(number) for number in range(simulation.call_count)}
+    finished = simulation.harness.finished
+    assert set(finished) == {str(number) for number in range(simulation.call_count)}
     assert simulation.harness.engine.calls_in_progress == 0
-    for call_id, answer in answers.items():
-        if isinstance(answer.outcome, NotRun):
+    for call_id, command in finished.items():
+        if isinstance(command.outcome, NotRun):
             assert simulation.possible_runs.get(call_id, 0) == 0
-        if not answer.call.rule.idempotent:
+        if not command.call.rule.idempotent:
             assert simulation.possible_runs.get(call_id, 0) <= 1
 
 
--- a/packages/baobabring/baobabring/calls/tests/test_routing.py
+++ b/packages/baobabring/baobabring/calls/tests/test_routing.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from baobabring.calls import Router, longest_deadline_ms
+from baobabring.calls import Router, get_longest_deadline_ms
 from baobabring.model import Configuration, KeyRule, Rule, Service
 
 PAY = Rule("POST", "/fees/*", KeyRule.REQUIRED, 2_000, "payment", 0)
@@ -41,5 +41,5 @@
 def test_longest_deadline_covers_every_rule_and_the_default():
     slow = Rule("POST", "/fees/*", KeyRule.REQUIRED, 90_000, "payment", 0)
     service = Service("fees", "/fees", (PAY, slow), ())
-    assert longest_deadline_ms(Configuration(1, {"fees": service})) == 90_000
-    assert longest_deadline_ms(Configuration()) == 10_000
+    assert get_longest_deadline_ms(Configuration(1, {"fees": service})) == 90_000
+    assert get_longest_deadline_ms(Configuration()) == 10_000
--- a/packages/baobabring/baobabring/claims/__init__.py
+++ b/packages/baobabring/baobabring/claims/__init__.py
@@ -1,6 +1,5 @@
 """Claims on idempotency keys, which let a request run at most once."""
 
-from baobabring.claims._answers import KeptAnswer
 from baobabring.claims._batcher import AppendRequest
 from baobabring.claims._coordinator import ClaimCoordinator, create_claim_coordinator
 from baobabring.claims._events import (
@@ -27,6 +26,7 @@
     parse_key,
 )
 from baobabring.claims._records import Settlement
+from baobabring.claims._responses import KeptResponse
 from baobabring.claims._settings import ClaimSettings
 
 __all__ = [
@@ -42,7 +42,7 @@
     "ClaimWon",
     "IdempotencyKey",
     "InvalidKey",
-    "KeptAnswer",
+    "KeptResponse",
     "KeyProblem",
     "NotSettleable",
     "NotSettleableReason",
--- a/packages/baobabring/baobabring/claims/_batcher.py
+++ b/packages/baobabring/baobabring/claims/_batcher.py
@@ -4,7 +4,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from baobabring.claims._keys import created_at_s
+from baobabring.claims._keys import parse_created_at_s
 from baobabring.claims._records import Claim, Record, encode_batch, encode_record
 from baobabring.claims._settings import ClaimSettings
 from baobabring.platform import (
@@ -71,7 +71,7 @@
         self._records_by_claim_id: dict[bytes, _QueuedRecord] = {}
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether no record is queued and no batch is in flight."""
         return self._batch is None and not self._queue
 
@@ -93,7 +93,9 @@
 
     def add(self, record: Record, now_s: float) -> None:
         """Queue a record for the next batch."""
-        obsolete_after_s = created_at_s(record.key) + self.settings.unresolved_window_s
+        obsolete_after_s = (
+            parse_created_at_s(record.key) + self.settings.unresolved_window_s
+        )
         claim_id = record.claim_id if isinstance(record, Claim) else None
         item = _QueuedRecord(encode_record(record), now_s, obsolete_after_s, claim_id)
         if claim_id is not None:
--- a/packages/baobabring/baobabring/claims/_coordinator.py
+++ b/packages/baobabring/baobabring/claims/_coordinator.py
@@ -3,9 +3,8 @@
 import math
 import random
 
-from baobabring.claims._answers import create_result_record
 from baobabring.claims._batcher import AppendRequest
-from baobabring.claims._calls import Call
+from baobabring.claims._calls import KeyedCall
 from baobabring.claims._events import (
     ClaimEvent,
     ClaimRefused,
@@ -19,11 +18,12 @@
 from baobabring.claims._partition import Partition
 from baobabring.claims._rate_limiter import AppendRateLimiter
 from baobabring.claims._records import Settlement
+from baobabring.claims._responses import create_result_record
 from baobabring.claims._settings import ClaimSettings
 from baobabring.claims._settlements import SettlementTracker
 from baobabring.claims._table import SettlementDecided
 from baobabring.claims._tracker import CallTracker
-from baobabring.model import Answer, Reason
+from baobabring.model import Reason, Response
 from baobabring.platform import Appended, AppendOutcome, ReadOutcome
 
 
@@ -81,7 +81,7 @@
         parsed = parse_key(key, now_s, self.settings.future_limit_s)
         if isinstance(parsed, InvalidKey):
             return ClaimRefused(call_id, Reason.KEY_INVALID, now_s)
-        call = Call(
+        call = KeyedCall(
             call_id=call_id,
             service_id=service_id,
             key=parsed.text,
@@ -96,7 +96,7 @@
         )
         return self._tracker.request(call, now_s)
 
-    def next_offset(self, partition: int) -> int:
+    def get_next_offset(self, partition: int) -> int:
         """Return the offset from which a partition's stream must be read next."""
         return self._partitions[partition].table.next_offset
 
@@ -165,12 +165,14 @@
         """
         return self._tracker.authorize_dispatch(call_id, now_s)
 
-    def finish_with_result(self, call_id: str, answer: Answer, now_s: float) -> None:
-        """Store the answer of a call that ran."""
+    def finish_with_result(
+        self, call_id: str, response: Response, now_s: float
+    ) -> None:
+        """Store the response to a call that ran."""
         call = self._tracker.pop_won_call(call_id)
         limit_bytes = self.settings.body_limit_bytes
         record = create_result_record(
-            answer, call.claim_id, call.service_id, call.key, limit_bytes
+            response, call.claim_id, call.service_id, call.key, limit_bytes
         )
         self._partitions[call.partition].batcher.add(record, now_s)
 
@@ -186,12 +188,12 @@
         """Remove a call whose caller disconnected; no event follows."""
         self._tracker.cancel(call_id, now_s)
 
-    def unknown_outcomes(self, now_s: float) -> list[UnknownOutcome]:
+    def get_unknown_outcomes(self, now_s: float) -> list[UnknownOutcome]:
         """Return the claims with an unknown outcome, which operators can settle."""
         return [
             outcome
             for partition in self._partitions
-            for outcome in self._settlements.unknown_outcomes(partition, now_s)
+            for outcome in self._settlements.get_unknown_outcomes(partition, now_s)
         ]
 
     def settle(
@@ -211,7 +213,7 @@
         """Set this instance's rate to an equal share of the fleet's append budget."""
         self.rate_limiter.set_live_instances(live_instances, now_s)
 
-    def next_append_at_s(self, now_s: float) -> float | None:
+    def get_next_append_at_s(self, now_s: float) -> float | None:
         """Return when the next append is due, None if only an event can cause one."""
         times = [
             partition.batcher.ready_at_s
@@ -226,9 +228,9 @@
         )
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether every record is in the log; a shutdown waits for it."""
-        return all(partition.batcher.idle for partition in self._partitions)
+        return all(partition.batcher.is_idle for partition in self._partitions)
 
     @property
     def skipped_record_count(self) -> int:
--- a/packages/baobabring/baobabring/claims/_events.py
+++ b/packages/baobabring/baobabring/claims/_events.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from baobabring.claims._answers import KeptAnswer
+from baobabring.claims._responses import KeptResponse
 from baobabring.model import Reason
 
 
@@ -30,10 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimReplayed:
-    """Report that the request ran, with its stored answer."""
+    """Report that the request ran, with its stored response."""
 
     call_id: str
-    answer: KeptAnswer
+    response: KeptResponse
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/baobabring/baobabring/claims/_keys.py
+++ b/packages/baobabring/baobabring/claims/_keys.py
@@ -35,7 +35,7 @@
     detail: str
 
 
-def created_at_s(canonical_key: str) -> float:
+def parse_created_at_s(canonical_key: str) -> float:
     """Return the creation time in a canonical UUIDv7, in Unix seconds."""
     return int(canonical_key[:8] + canonical_key[9:13], 16) / _MS_PER_S
 
@@ -48,7 +48,7 @@
     if _UUID7.fullmatch(canonical) is None:
         detail = f"idempotency key must be a UUIDv7, got {text!r}"
         return InvalidKey(KeyProblem.NOT_UUID7, detail)
-    created = created_at_s(canonical)
+    created = parse_created_at_s(canonical)
     if created > now_s + future_limit_s:
         detail = f"idempotency key is {created - now_s:.3f} s in the future"
         return InvalidKey(KeyProblem.IN_FUTURE, detail)
--- a/packages/baobabring/baobabring/claims/_partition.py
+++ b/packages/baobabring/baobabring/claims/_partition.py
@@ -72,7 +72,7 @@
             return True
         since_s = self._appends_failing_since_s
         appends_fail = since_s is not None and now_s - since_s > limit_s
-        return appends_fail and not self.batcher.idle
+        return appends_fail and not self.batcher.is_idle
 
     def get_retry_at_s(self, now_s: float) -> float:
         """Return the time from which a refused caller may retry."""
--- a/packages/baobabring/baobabring/claims/_records.py
+++ b/packages/baobabring/baobabring/claims/_records.py
@@ -28,7 +28,7 @@
 
 
 class Result(msgspec.Struct, tag="result", array_like=True, frozen=True):
-    """Store a target's answer: complete, or status and digest above a size limit."""
+    """Store a target's response; above a size limit, only its status and digest."""
 
     claim_id: bytes
     service_id: str
--- a/packages/baobabring/baobabring/claims/_settings.py
+++ b/packages/baobabring/baobabring/claims/_settings.py
@@ -7,11 +7,36 @@
 class ClaimSettings:
     """Represent the limits of claims in time, bytes and appends.
 
-    `window_s` is the maximum age at which a key can be proven to be new, and
-    `unresolved_window_s` the age up to which unknown outcomes stay listed. Both must
-    be shorter than the log's retention. `clock_skew_s` limits how far the clocks of
-    instances and of the log differ, `future_limit_s` how far callers' clocks are
-    ahead. `budget_appends_per_s` applies to the whole fleet.
+    `window_s` and `unresolved_window_s` must be shorter than the log's retention.
+
+    Parameters
+    ----------
+    window_s : float
+        Maximum age at which a key can be proven to be new.
+    unresolved_window_s : float
+        Age of a key up to which its unknown outcome stays listed.
+    future_limit_s : float
+        Maximum time by which callers' clocks are ahead.
+    clock_skew_s : float
+        Maximum difference between the clocks of instances and of the log.
+    settlement_margin_s : float
+        Time after its dispatch deadline in which a claim can still win, and must not
+        be settled as not run.
+    result_grace_s : float
+        Time after its dispatch deadline in which a claim's result may still arrive;
+        without a result, the outcome is unknown afterwards.
+    log_failing_limit_s : float
+        Time without a successful read or append after which the log counts as failing.
+    log_retry_delay_s : float
+        Minimum delay before a caller refused because the log is unavailable may retry.
+    budget_appends_per_s : float
+        Appends per second that the whole fleet may make.
+    burst_appends : float
+        Appends that an idle instance may make at once.
+    batch_limit_bytes : int
+        Maximum size of the records of a batch, unless a single record is larger.
+    body_limit_bytes : int
+        Maximum size of headers and body of a response that is stored in full.
     """
 
     window_s: float = 600.0
--- a/packages/baobabring/baobabring/claims/_settlements.py
+++ b/packages/baobabring/baobabring/claims/_settlements.py
@@ -27,7 +27,7 @@
         self._rng = rng
         self._states: OrderedDict[bytes, SettlementState] = OrderedDict()
 
-    def unknown_outcomes(
+    def get_unknown_outcomes(
         self, partition: Partition, now_s: float
     ) -> list[UnknownOutcome]:
         """Return the claims of a partition whose outcome is unknown."""
@@ -101,10 +101,10 @@
         return True
     if entry.state is not KeyState.CLAIMED:
         return False
-    return now_s > unknown_at_s(entry, settings)
+    return now_s > get_unknown_at_s(entry, settings)
 
 
-def unknown_at_s(entry: KeyEntry, settings: ClaimSettings) -> float:
+def get_unknown_at_s(entry: KeyEntry, settings: ClaimSettings) -> float:
     """Return the time after which a claimed key without result is unknown."""
     return entry.holder.dispatch_deadline_s + settings.result_grace_s
 
--- a/packages/baobabring/baobabring/claims/_table.py
+++ b/packages/baobabring/baobabring/claims/_table.py
@@ -5,8 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from baobabring.claims._answers import KeptAnswer, create_kept_answer
-from baobabring.claims._keys import created_at_s, is_canonical
+from baobabring.claims._keys import is_canonical, parse_created_at_s
 from baobabring.claims._records import (
     Claim,
     Record,
@@ -17,6 +16,7 @@
     Undetermined,
     decode_batch,
 )
+from baobabring.claims._responses import KeptResponse, create_kept_response
 from baobabring.claims._settings import ClaimSettings
 from baobabring.platform import LogRecord, Page
 
@@ -33,7 +33,7 @@
     ANSWERED = "answered"
 
 
-class Verdict(Enum):
+class ClaimVerdict(Enum):
     """Represent the decision on a claim."""
 
     WON = "won"
@@ -55,7 +55,7 @@
     created_at_s: float
     state: KeyState = KeyState.FREE
     holder: Claim | None = None
-    answer: KeptAnswer | None = None
+    response: KeptResponse | None = None
     retired_ids: frozenset[bytes] = frozenset()
 
 
@@ -64,7 +64,7 @@
     """Report the verdict on a claim that was read for the first time."""
 
     claim: Claim
-    verdict: Verdict
+    verdict: ClaimVerdict
 
 
 @dataclass(frozen=True, slots=True)
@@ -165,7 +165,7 @@
         since_s = first.appended_at_s if time_is_known else now_s
         self.covered_since_s = max(self.covered_since_s, since_s)
         for key_id, entry in list(self._entries.items()):
-            if entry.answer is None and not self.covers(entry.created_at_s):
+            if entry.response is None and not self.covers(entry.created_at_s):
                 del self._entries[key_id]
         return CoverageLost(self.covered_since_s)
 
@@ -199,13 +199,13 @@
         self, claim: Claim, appended_at_s: float, effects: list[TableEffect]
     ) -> None:
         key_id = (claim.service_id, claim.key)
-        created = created_at_s(claim.key)
+        created = parse_created_at_s(claim.key)
         if created < self.log_time_s - self.settings.window_s:
-            effects.append(ClaimDecided(claim, Verdict.TOO_OLD))
+            effects.append(ClaimDecided(claim, ClaimVerdict.TOO_OLD))
             return
         entry = self._entries.get(key_id)
         if entry is None and not self.covers(created):
-            effects.append(ClaimDecided(claim, Verdict.NOT_COVERED))
+            effects.append(ClaimDecided(claim, ClaimVerdict.NOT_COVERED))
             return
         if entry is None:
             entry = self._add_entry(key_id, created)
@@ -218,20 +218,20 @@
 
     def _decide_claim(
         self, claim: Claim, entry: KeyEntry, appended_at_s: float
-    ) -> Verdict:
+    ) -> ClaimVerdict:
         latest_append_at_s = (
             claim.dispatch_deadline_s + self.settings.settlement_margin_s
         )
         if entry.state is KeyState.FREE and appended_at_s <= latest_append_at_s:
             entry.holder = claim
             entry.state = KeyState.CLAIMED
-            return Verdict.WON
+            return ClaimVerdict.WON
         entry.retired_ids |= {claim.claim_id}
         if entry.state is KeyState.FREE:
-            return Verdict.TOO_LATE
+            return ClaimVerdict.TOO_LATE
         if is_same_request(entry.holder, claim.fingerprint, claim.tenant):
-            return Verdict.LOST
-        return Verdict.KEY_REUSED
+            return ClaimVerdict.LOST
+        return ClaimVerdict.KEY_REUSED
 
     def _is_duplicate(self, claim: Claim, entry: KeyEntry) -> bool:
         if claim.claim_id in entry.retired_ids:
@@ -246,11 +246,11 @@
 
     def _apply_result(self, result: Result, effects: list[TableEffect]) -> None:
         entry = self._get_held_entry(result)
-        if entry is None or entry.answer is not None:
+        if entry is None or entry.response is not None:
             self.ignored_record_count += 1
             self._count_contradiction(result)
             return
-        entry.answer = create_kept_answer(result)
+        entry.response = create_kept_response(result)
         self._set_state(result, entry, KeyState.ANSWERED, effects)
 
     def _count_contradiction(self, result: Result) -> None:
@@ -270,7 +270,7 @@
         # The claim may still be in flight; it must not win after its release.
         key_id = (release.service_id, release.key)
         entry = self._entries.get(key_id)
-        created = created_at_s(release.key)
+        created = parse_created_at_s(release.key)
         if entry is None and created >= self.log_time_s - self.settings.window_s:
             entry = self._add_entry(key_id, created) if self.covers(created) else None
         if entry is not None and self._get_held_entry(release) is None:
--- a/packages/baobabring/baobabring/claims/_tracker.py
+++ b/packages/baobabring/baobabring/claims/_tracker.py
@@ -3,7 +3,7 @@
 import random
 
 from baobabring.claims._batcher import ID_BYTES
-from baobabring.claims._calls import Call, CallRegistry, CallState
+from baobabring.claims._calls import CallRegistry, KeyedCall, KeyedCallState
 from baobabring.claims._events import (
     ClaimEvent,
     ClaimLost,
@@ -17,14 +17,14 @@
 from baobabring.claims._partition import Partition
 from baobabring.claims._records import Claim, Release, Undetermined
 from baobabring.claims._settings import ClaimSettings
-from baobabring.claims._settlements import is_unknown, unknown_at_s
+from baobabring.claims._settlements import get_unknown_at_s, is_unknown
 from baobabring.claims._table import (
     ClaimDecided,
+    ClaimVerdict,
     CoverageLost,
     KeyState,
     KeyStateChanged,
     TableEffect,
-    Verdict,
     is_same_request,
 )
 from baobabring.model import Reason
@@ -49,7 +49,7 @@
         self._calls = CallRegistry()
         self._events: list[ClaimEvent] = []
 
-    def request(self, call: Call, now_s: float) -> RequestReply:
+    def request(self, call: KeyedCall, now_s: float) -> RequestReply:
         """Reply from the claim table, or start to track the call."""
         self._partition(call).start_timing(now_s)
         reply = self._get_immediate_reply(call, now_s)
@@ -84,11 +84,11 @@
         """Update the calls that a change of the table concerns."""
         if isinstance(effect, ClaimDecided):
             call = self._calls.get_by_claim_id(effect.claim.claim_id)
-            if call is not None and call.state is CallState.PENDING:
+            if call is not None and call.state is KeyedCallState.PENDING:
                 self._apply_verdict(call, effect.verdict, now_s)
         elif isinstance(effect, KeyStateChanged):
             for call in self._calls.list_by_key(effect.key_id):
-                if call.state is CallState.WAITING:
+                if call.state is KeyedCallState.WAITING:
                     self._apply_key_state(call, now_s)
         elif isinstance(effect, CoverageLost):
             self._end_uncovered_calls(partition, now_s)
@@ -96,7 +96,7 @@
     def authorize_dispatch(self, call_id: str, now_s: float) -> bool:
         """Return whether a call may be sent now; if so, record it as dispatched."""
         call = self._calls.get(call_id)
-        if call is None or call.state is not CallState.WON:
+        if call is None or call.state is not KeyedCallState.WON:
             return False
         if now_s >= call.deadline_s or self._is_too_old(call, now_s):
             return False
@@ -105,10 +105,10 @@
         call.dispatched = True
         return True
 
-    def pop_won_call(self, call_id: str) -> Call:
+    def pop_won_call(self, call_id: str) -> KeyedCall:
         """Remove and return a call that won; raise ValueError if there is none."""
         call = self._calls.get(call_id)
-        if call is None or call.state is not CallState.WON:
+        if call is None or call.state is not KeyedCallState.WON:
             raise ValueError(f"call_id {call_id!r} holds no claim")
         self._calls.remove(call)
         return call
@@ -118,28 +118,30 @@
         call = self._calls.get(call_id)
         if call is None:
             return
-        if call.state is CallState.PENDING:
+        if call.state is KeyedCallState.PENDING:
             self._withdraw(call, now_s)
-        elif call.state is CallState.WON and call.dispatched:
+        elif call.state is KeyedCallState.WON and call.dispatched:
             self.record_undetermined(call, now_s)
-        elif call.state is CallState.WON:
+        elif call.state is KeyedCallState.WON:
             self.release(call, now_s)
         self._calls.remove(call)
 
-    def release(self, call: Call, now_s: float) -> None:
+    def release(self, call: KeyedCall, now_s: float) -> None:
         """Record that a call did not run and never will."""
         record = Release(call.claim_id, call.service_id, call.key)
         self._partition(call).batcher.add(record, now_s)
 
-    def record_undetermined(self, call: Call, now_s: float) -> None:
+    def record_undetermined(self, call: KeyedCall, now_s: float) -> None:
         """Record that it cannot be known whether a call ran."""
         record = Undetermined(call.claim_id, call.service_id, call.key)
         self._partition(call).batcher.add(record, now_s)
 
-    def _partition(self, call: Call) -> Partition:
+    def _partition(self, call: KeyedCall) -> Partition:
         return self._partitions[call.partition]
 
-    def _get_immediate_reply(self, call: Call, now_s: float) -> RequestReply | None:
+    def _get_immediate_reply(
+        self, call: KeyedCall, now_s: float
+    ) -> RequestReply | None:
         if now_s >= call.deadline_s:
             return ClaimRefused(call.call_id, Reason.DEADLINE, now_s)
         reply = self._get_reply_from_table(call, now_s)
@@ -149,15 +151,17 @@
             return self._create_log_refusal(call, now_s)
         return None
 
-    def _get_reply_from_table(self, call: Call, now_s: float) -> RequestReply | None:
+    def _get_reply_from_table(
+        self, call: KeyedCall, now_s: float
+    ) -> RequestReply | None:
         table = self._partition(call).table
         entry = table.get_entry(call.key_id)
-        final = entry is not None and entry.answer is not None
+        final = entry is not None and entry.response is not None
         if entry is not None and entry.holder and (final or table.has_reached_end):
             if not self._is_same_request(call):
                 return ClaimRefused(call.call_id, Reason.KEY_REUSED, now_s)
             if final:
-                return ClaimReplayed(call.call_id, entry.answer)
+                return ClaimReplayed(call.call_id, entry.response)
             if not self._can_get_result(call, now_s):
                 return ClaimUnknown(call.call_id, Reason.HOLDER_LOST)
         covered = entry is not None or table.covers(call.key_created_at_s)
@@ -165,35 +169,35 @@
             return ClaimUnknown(call.call_id, Reason.KEY_TOO_OLD)
         return None
 
-    def _is_too_old(self, call: Call, now_s: float) -> bool:
+    def _is_too_old(self, call: KeyedCall, now_s: float) -> bool:
         return now_s - call.key_created_at_s > self.settings.window_s
 
-    def _is_held_by_other(self, call: Call) -> bool:
+    def _is_held_by_other(self, call: KeyedCall) -> bool:
         """Return whether a claim other than the call's own holds its key."""
         entry = self._partition(call).table.get_entry(call.key_id)
         if entry is None or entry.holder is None:
             return False
         return entry.holder.claim_id != call.claim_id
 
-    def _can_get_result(self, call: Call, now_s: float) -> bool:
+    def _can_get_result(self, call: KeyedCall, now_s: float) -> bool:
         entry = self._partition(call).table.get_entry(call.key_id)
         if entry is None or entry.state is not KeyState.CLAIMED:
             return False
         return not is_unknown(entry, now_s, self.settings)
 
-    def _is_log_unavailable(self, call: Call, now_s: float) -> bool:
+    def _is_log_unavailable(self, call: KeyedCall, now_s: float) -> bool:
         partition = self._partition(call)
         return partition.is_failing(now_s) or partition.is_refusing_until(
             call.deadline_s, now_s
         )
 
-    def _create_log_refusal(self, call: Call, now_s: float) -> ClaimRefused:
+    def _create_log_refusal(self, call: KeyedCall, now_s: float) -> ClaimRefused:
         retry_at_s = self._partition(call).get_retry_at_s(now_s)
         return ClaimRefused(call.call_id, Reason.LOG_UNAVAILABLE, retry_at_s)
 
-    def _submit_claim(self, call: Call, now_s: float) -> None:
+    def _submit_claim(self, call: KeyedCall, now_s: float) -> None:
         self._calls.set_claim(call, self._rng.randbytes(ID_BYTES))
-        call.state = CallState.PENDING
+        call.state = KeyedCallState.PENDING
         claim = Claim(
             claim_id=call.claim_id,
             service_id=call.service_id,
@@ -209,37 +213,37 @@
         self._partition(call).batcher.add(claim, now_s)
         self._schedule_review(call, now_s)
 
-    def _start_waiting(self, call: Call, now_s: float) -> None:
-        call.state = CallState.WAITING
+    def _start_waiting(self, call: KeyedCall, now_s: float) -> None:
+        call.state = KeyedCallState.WAITING
         self._events.append(ClaimLost(call.call_id))
         self._schedule_review(call, now_s)
 
-    def _schedule_review(self, call: Call, now_s: float) -> None:
-        if call.state is CallState.WON:
+    def _schedule_review(self, call: KeyedCall, now_s: float) -> None:
+        if call.state is KeyedCallState.WON:
             return
         at_s = call.deadline_s
-        if call.state is CallState.WAITING:
+        if call.state is KeyedCallState.WAITING:
             entry = self._partition(call).table.get_entry(call.key_id)
             if entry is not None and entry.holder is not None:
-                at_s = min(at_s, unknown_at_s(entry, self.settings))
+                at_s = min(at_s, get_unknown_at_s(entry, self.settings))
         else:
             at_s = min(at_s, call.requested_at_s + self.settings.log_failing_limit_s)
         earliest_s = now_s + _MIN_REVIEW_INTERVAL_S
         self._calls.schedule_review(call, max(at_s, min(earliest_s, call.deadline_s)))
 
-    def _review(self, call: Call, now_s: float) -> None:
-        if call.state is CallState.WAITING:
+    def _review(self, call: KeyedCall, now_s: float) -> None:
+        if call.state is KeyedCallState.WAITING:
             self._review_waiting(call, now_s)
-        elif call.state is CallState.PENDING:
+        elif call.state is KeyedCallState.PENDING:
             self._review_pending(call, now_s)
 
-    def _review_waiting(self, call: Call, now_s: float) -> None:
+    def _review_waiting(self, call: KeyedCall, now_s: float) -> None:
         if not self._can_get_result(call, now_s):
             self._end_call(call, ClaimUnknown(call.call_id, Reason.HOLDER_LOST))
         elif now_s >= call.deadline_s:
             self._end_call(call, ClaimUnknown(call.call_id, Reason.IN_PROGRESS))
 
-    def _review_pending(self, call: Call, now_s: float) -> None:
+    def _review_pending(self, call: KeyedCall, now_s: float) -> None:
         log_failing_limit_at_s = call.requested_at_s + self.settings.log_failing_limit_s
         partition = self._partition(call)
         if now_s >= call.deadline_s:
@@ -251,32 +255,37 @@
         ):
             self._end_pending(call, self._create_log_refusal(call, now_s), now_s)
 
-    def _apply_verdict(self, call: Call, verdict: Verdict, now_s: float) -> None:
+    def _apply_verdict(
+        self, call: KeyedCall, verdict: ClaimVerdict, now_s: float
+    ) -> None:
         call_id = call.call_id
-        if verdict is Verdict.WON and now_s < call.deadline_s:
-            call.state = CallState.WON
+        if verdict is ClaimVerdict.WON and now_s < call.deadline_s:
+            call.state = KeyedCallState.WON
             self._events.append(ClaimWon(call_id))
-        elif verdict is Verdict.WON:
+        elif verdict is ClaimVerdict.WON:
             self.release(call, now_s)
             self._end_call(call, ClaimRefused(call_id, Reason.DEADLINE, now_s))
-        elif verdict is Verdict.LOST:
+        elif verdict is ClaimVerdict.LOST:
             self._handle_lost_claim(call, now_s)
-        elif verdict is Verdict.KEY_REUSED:
+        elif verdict is ClaimVerdict.KEY_REUSED:
             self._end_call(call, ClaimRefused(call_id, Reason.KEY_REUSED, now_s))
-        elif verdict is Verdict.TOO_LATE:
+        elif verdict is ClaimVerdict.TOO_LATE:
             self._end_call(call, ClaimRefused(call_id, Reason.DEADLINE, now_s))
         else:
             # An instance that read more of the stream may let this claim win.
             self.release(call, now_s)
             self._end_call(call, ClaimUnknown(call_id, Reason.KEY_TOO_OLD))
 
-    def _handle_lost_claim(self, call: Call, now_s: float) -> None:
-        call.state = CallState.WAITING
+    def _handle_lost_claim(self, call: KeyedCall, now_s: float) -> None:
+        call.state = KeyedCallState.WAITING
         self._apply_key_state(call, now_s)
-        if self._calls.get(call.call_id) is call and call.state is CallState.WAITING:
+        if (
+            self._calls.get(call.call_id) is call
+            and call.state is KeyedCallState.WAITING
+        ):
             self._start_waiting(call, now_s)
 
-    def _apply_key_state(self, call: Call, now_s: float) -> None:
+    def _apply_key_state(self, call: KeyedCall, now_s: float) -> None:
         """Update a waiting call according to the state of its key."""
         entry = self._partition(call).table.get_entry(call.key_id)
         if entry is None:
@@ -284,8 +293,8 @@
         elif entry.holder is not None and not self._is_same_request(call):
             # The key has since been released and claimed for another request.
             self._end_call(call, ClaimRefused(call.call_id, Reason.KEY_REUSED, now_s))
-        elif entry.answer is not None:
-            self._end_call(call, ClaimReplayed(call.call_id, entry.answer))
+        elif entry.response is not None:
+            self._end_call(call, ClaimReplayed(call.call_id, entry.response))
         elif entry.state is KeyState.FREE and now_s < call.deadline_s:
             self._submit_claim(call, now_s)
         elif entry.state is KeyState.FREE:
@@ -296,33 +305,35 @@
     def _end_uncovered_calls(self, partition: int, now_s: float) -> None:
         table = self._partitions[partition].table
         for call in self._calls.list_by_partition(partition):
-            if call.state is CallState.WON or table.covers(call.key_created_at_s):
+            if call.state is KeyedCallState.WON or table.covers(call.key_created_at_s):
                 continue
             unknown = ClaimUnknown(call.call_id, Reason.KEY_TOO_OLD)
-            if call.state is CallState.PENDING:
+            if call.state is KeyedCallState.PENDING:
                 self._withdraw(call, now_s)
             self._end_call(call, unknown)
 
-    def _end_pending(self, call: Call, refusal: ClaimRefused, now_s: float) -> None:
+    def _end_pending(
+        self, call: KeyedCall, refusal: ClaimRefused, now_s: float
+    ) -> None:
         self._withdraw(call, now_s)
         if self._is_held_by_other(call):
             self._end_call(call, ClaimUnknown(call.call_id, Reason.IN_PROGRESS))
         else:
             self._end_call(call, refusal)
 
-    def _withdraw(self, call: Call, now_s: float) -> None:
+    def _withdraw(self, call: KeyedCall, now_s: float) -> None:
         if not self._partition(call).batcher.withdraw(call.claim_id):
             self.release(call, now_s)
 
-    def _end_call(self, call: Call, event: ClaimEvent) -> None:
+    def _end_call(self, call: KeyedCall, event: ClaimEvent) -> None:
         self._calls.remove(call)
         self._events.append(event)
 
-    def _is_same_request(self, call: Call) -> bool:
+    def _is_same_request(self, call: KeyedCall) -> bool:
         holder = self._partition(call).table.get_entry(call.key_id).holder
         return is_same_request(holder, call.fingerprint, call.tenant)
 
-    def _holds_key(self, call: Call) -> bool:
+    def _holds_key(self, call: KeyedCall) -> bool:
         table = self._partition(call).table
         entry = table.get_entry(call.key_id)
         if entry is None or entry.state is not KeyState.CLAIMED:
--- a/packages/baobabring/baobabring/claims/tests/_models.py
+++ b/packages/baobabring/baobabring/claims/tests/_models.py
@@ -8,11 +8,11 @@
 
 
 class AppendFate(Enum):
-    """Represent what happens to an append and to its answer."""
+    """Represent what happens to an append and to its reply."""
 
     CONFIRMED = "confirmed"
     REFUSED = "refused"
-    ANSWER_LOST = "answer-lost"
+    REPLY_LOST = "reply-lost"
     LOST = "lost"
     DELAYED = "delayed"
 
--- a/packages/baobabring/baobabring/claims/tests/_simulation.py
+++ b/packages/baobabring/baobabring/claims/tests/_simulation.py
@@ -26,7 +26,7 @@
     make_payload,
     make_rng,
 )
-from baobabring.model import Answer
+from baobabring.model import Response
 from baobabring.platform import (
     Appended,
     AppendRefused,
@@ -123,7 +123,7 @@
             return Appended(self.stream.append(payload, self.now_s))
         if fate is AppendFate.REFUSED:
             return AppendRefused(self.now_s + 1)
-        if fate is AppendFate.ANSWER_LOST:
+        if fate is AppendFate.REPLY_LOST:
             self.stream.append(payload, self.now_s)
         elif fate is AppendFate.DELAYED:
             self.delayed.append(payload)
@@ -142,12 +142,12 @@
         self.stream.earliest_offset = max(self.stream.earliest_offset, offset)
 
     def start_read(self, instance: InstanceModel, limit: int) -> None:
-        """Read from the log; `end_read` delivers the answer."""
-        page = self.stream.page(instance.claims.next_offset(0), limit)
+        """Read a page from the log; `end_read` delivers it."""
+        page = self.stream.page(instance.claims.get_next_offset(0), limit)
         instance.pending_read = (page, self.get_local_time_s(instance))
 
     def end_read(self, instance: InstanceModel) -> None:
-        """Deliver the answer of the pending read."""
+        """Deliver the page of the pending read."""
         if instance.pending_read is None:
             return
         page, started_at_s = instance.pending_read
@@ -199,8 +199,8 @@
                 self.runs[call.key].pop()
             claims.finish_as_not_run(call.call_id, now_s)
         elif end is CallEnd.RESULT:
-            answer = Answer(200, (), self.runs[call.key][0].body)
-            claims.finish_with_result(call.call_id, answer, now_s)
+            response = Response(200, (), self.runs[call.key][0].body)
+            claims.finish_with_result(call.call_id, response, now_s)
         elif end is CallEnd.UNDETERMINED:
             claims.finish_as_undetermined(call.call_id, now_s)
         else:
@@ -302,6 +302,9 @@
         call.ended = True
         if isinstance(event, ClaimReplayed):
             (run,) = self.runs[call.key]
-            assert (call.fingerprint, event.answer.body) == (run.fingerprint, run.body)
+            assert (call.fingerprint, event.response.body) == (
+                run.fingerprint,
+                run.body,
+            )
         elif not isinstance(event, ClaimUnknown):
             assert not call.dispatched, event
--- a/packages/baobabring/baobabring/claims/tests/_support.py
+++ b/packages/baobabring/baobabring/claims/tests/_support.py
@@ -9,7 +9,7 @@
     create_claim_coordinator,
 )
 from baobabring.claims._records import Claim, Record, encode_batch, encode_record
-from baobabring.model import Answer
+from baobabring.model import Response
 from baobabring.platform import Appended, LogRecord, Page
 
 NOW_S = 1_000_000.0
@@ -86,7 +86,7 @@
 
 
 KEY = make_key(NOW_S)
-ANSWER = Answer(201, (("Content-Type", "text/plain"),), b"paid")
+RESPONSE = Response(201, (("Content-Type", "text/plain"),), b"paid")
 
 
 class InstanceHarness:
@@ -110,7 +110,7 @@
         )
 
     def read(self, now_s=NOW_S):
-        page = self.stream.page(self.claims.next_offset(0))
+        page = self.stream.page(self.claims.get_next_offset(0))
         return self.claims.apply_page(0, page, now_s, now_s)
 
     def append(self, now_s=NOW_S, outcome=None, is_stored=True):
--- a/packages/baobabring/baobabring/claims/tests/test_batcher.py
+++ b/packages/baobabring/baobabring/claims/tests/test_batcher.py
@@ -94,7 +94,7 @@
     if not read_first:
         batcher.record_batch_read(append.append_id)
     batcher.record_read_to_end(NOW_S + 1)
-    assert batcher.idle
+    assert batcher.is_idle
 
 
 def test_claim_withdrawn_before_its_append_is_not_appended(batcher):
--- a/packages/baobabring/baobabring/claims/tests/test_coordinator.py
+++ b/packages/baobabring/baobabring/claims/tests/test_coordinator.py
@@ -11,15 +11,15 @@
     ClaimReplayed,
     ClaimUnknown,
     ClaimWon,
-    KeptAnswer,
+    KeptResponse,
     compute_partition,
     create_claim_coordinator,
 )
 from baobabring.claims._records import Release, Result, decode_batch
 from baobabring.claims.tests._support import (
-    ANSWER,
     KEY,
     NOW_S,
+    RESPONSE,
     SETTINGS,
     InstanceHarness,
     StreamModel,
@@ -27,7 +27,7 @@
     make_key,
     make_rng,
 )
-from baobabring.model import Answer, Reason
+from baobabring.model import Reason, Response
 
 
 @pytest.fixture
@@ -72,28 +72,28 @@
     assert events == [ClaimRefused("a", Reason.DEADLINE, NOW_S + 10)]
     instance.append(NOW_S + 10)
     instance.read(NOW_S + 10)
-    assert instance.claims.unknown_outcomes(NOW_S + 100) == []
+    assert instance.claims.get_unknown_outcomes(NOW_S + 100) == []
 
 
-def test_second_call_of_a_key_gets_the_answer_of_the_first(instance):
+def test_second_call_of_a_key_gets_the_response_of_the_first(instance):
     instance.win_claim("a")
     assert instance.request("b") == ClaimPending("b")
     assert instance.claims.tick(NOW_S) == [ClaimLost("b")]
     assert instance.claims.authorize_dispatch("a", NOW_S)
-    instance.claims.finish_with_result("a", ANSWER, NOW_S)
+    instance.claims.finish_with_result("a", RESPONSE, NOW_S)
     instance.append()
-    kept = KeptAnswer(201, ANSWER.headers, b"paid", None)
+    kept = KeptResponse(201, RESPONSE.headers, b"paid", None)
     assert instance.read() == [ClaimReplayed("b", kept)]
     assert instance.request("c") == ClaimReplayed("c", kept)
 
 
 def test_large_body_is_kept_as_digest(instance):
     instance.win_claim("a")
-    answer = Answer(200, (), b"x" * (SETTINGS.body_limit_bytes + 1))
-    instance.claims.finish_with_result("a", answer, NOW_S)
+    response = Response(200, (), b"x" * (SETTINGS.body_limit_bytes + 1))
+    instance.claims.finish_with_result("a", response, NOW_S)
     instance.append()
     instance.read()
-    kept = instance.request("b").answer
+    kept = instance.request("b").response
     assert (kept.status, kept.body, len(kept.body_digest)) == (200, None, 16)
 
 
@@ -102,7 +102,7 @@
     instance.win_claim("a")
     refused = ClaimRefused("b", Reason.KEY_REUSED, NOW_S)
     assert instance.request("b", **other) == refused
-    instance.claims.finish_with_result("a", ANSWER, NOW_S)
+    instance.claims.finish_with_result("a", RESPONSE, NOW_S)
     instance.append()
     instance.read()
     assert instance.request("b", **other) == refused
@@ -118,7 +118,7 @@
     assert instance.read() == [ClaimWon("b")]
 
 
-def test_waiting_call_never_gets_the_answer_to_another_request(instance):
+def test_waiting_call_never_gets_the_response_to_another_request(instance):
     instance.read()
     instance.append_records(make_claim(KEY, b"1"))
     instance.request("b")
--- a/packages/baobabring/baobabring/claims/tests/test_failures.py
+++ b/packages/baobabring/baobabring/claims/tests/test_failures.py
@@ -30,7 +30,9 @@
 
 
 def unknown_keys(simulation, instance):
-    outcomes = instance.claims.unknown_outcomes(simulation.get_local_time_s(instance))
+    outcomes = instance.claims.get_unknown_outcomes(
+        simulation.get_local_time_s(instance)
+    )
     return [outcome.key for outcome in outcomes]
 
 
@@ -110,8 +112,8 @@
     assert len(simulation.runs[KEY]) == 1
 
 
-@pytest.mark.parametrize("fate", [AppendFate.ANSWER_LOST, AppendFate.LOST])
-def test_claim_whose_answer_is_lost_runs_once(simulation, fate):
+@pytest.mark.parametrize("fate", [AppendFate.REPLY_LOST, AppendFate.LOST])
+def test_claim_whose_append_reply_is_lost_runs_once(simulation, fate):
     first, second, _ = simulation.instances
     simulation.request(first, KEY, b"f", 4.0)
     simulation.append(first, fate)
--- a/packages/baobabring/baobabring/claims/tests/test_partition.py
+++ b/packages/baobabring/baobabring/claims/tests/test_partition.py
@@ -9,8 +9,8 @@
     ClaimRefused,
 )
 from baobabring.claims.tests._support import (
-    ANSWER,
     NOW_S,
+    RESPONSE,
     InstanceHarness,
 )
 from baobabring.model import Reason
@@ -63,21 +63,21 @@
 
 
 def test_next_append_waits_for_the_log(instance):
-    next_append_at_s = instance.claims.next_append_at_s
+    get_next_append_at_s = instance.claims.get_next_append_at_s
     instance.request("a")
-    assert next_append_at_s(NOW_S) is None
+    assert get_next_append_at_s(NOW_S) is None
     instance.read()
-    assert next_append_at_s(NOW_S) == NOW_S
+    assert get_next_append_at_s(NOW_S) == NOW_S
     instance.append(outcome=AppendRefused(NOW_S + 1), is_stored=False)
-    assert next_append_at_s(NOW_S) == NOW_S + 1
+    assert get_next_append_at_s(NOW_S) == NOW_S + 1
 
 
 def test_instance_is_idle_once_its_records_are_in_the_log(instance):
     instance.win_claim("a")
-    instance.claims.finish_with_result("a", ANSWER, NOW_S)
-    assert not instance.claims.idle
+    instance.claims.finish_with_result("a", RESPONSE, NOW_S)
+    assert not instance.claims.is_idle
     instance.append()
-    assert instance.claims.idle
+    assert instance.claims.is_idle
 
 
 def test_cancelled_claim_that_may_be_in_the_log_is_released(instance):
@@ -88,4 +88,4 @@
     assert instance.read() == []
     instance.append()
     instance.read()
-    assert instance.claims.unknown_outcomes(NOW_S + 100) == []
+    assert instance.claims.get_unknown_outcomes(NOW_S + 100) == []
--- a/packages/baobabring/baobabring/claims/tests/test_settlements.py
+++ b/packages/baobabring/baobabring/claims/tests/test_settlements.py
@@ -10,9 +10,9 @@
     SettlementState,
 )
 from baobabring.claims.tests._support import (
-    ANSWER,
     KEY,
     NOW_S,
+    RESPONSE,
     InstanceHarness,
     StreamModel,
     make_claim,
@@ -31,14 +31,16 @@
     instance.claims.cancel("a", NOW_S)
     instance.append()
     instance.read()
-    assert [outcome.key for outcome in instance.claims.unknown_outcomes(NOW_S)] == [KEY]
+    assert [outcome.key for outcome in instance.claims.get_unknown_outcomes(NOW_S)] == [
+        KEY
+    ]
 
 
 def test_claim_without_result_becomes_an_unknown_outcome(instance):
     instance.append_records(make_claim(KEY, b"1"))
     instance.read()
-    assert instance.claims.unknown_outcomes(NOW_S + 11) == []
-    (outcome,) = instance.claims.unknown_outcomes(NOW_S + 11.1)
+    assert instance.claims.get_unknown_outcomes(NOW_S + 11) == []
+    (outcome,) = instance.claims.get_unknown_outcomes(NOW_S + 11.1)
     assert (outcome.key, outcome.method) == (KEY, "POST")
 
 
@@ -82,7 +84,7 @@
 
 def test_known_outcome_is_not_settleable(instance):
     instance.win_claim("a")
-    instance.claims.finish_with_result("a", ANSWER, NOW_S)
+    instance.claims.finish_with_result("a", RESPONSE, NOW_S)
     instance.append()
     instance.read()
     reply = instance.claims.settle("pay", KEY, Settlement.RAN, NOW_S + 100)
--- a/packages/baobabring/baobabring/claims/tests/test_table.py
+++ b/packages/baobabring/baobabring/claims/tests/test_table.py
@@ -12,9 +12,9 @@
 from baobabring.claims._table import (
     ClaimDecided,
     ClaimTable,
+    ClaimVerdict,
     KeyState,
     SettlementDecided,
-    Verdict,
 )
 from baobabring.claims.tests._support import (
     KEY,
@@ -69,24 +69,24 @@
 
 def test_first_claim_wins(harness):
     harness.add(make_claim(KEY, b"1"), make_claim(KEY, b"2"))
-    assert harness.verdicts() == [Verdict.WON, Verdict.LOST]
+    assert harness.verdicts() == [ClaimVerdict.WON, ClaimVerdict.LOST]
 
 
 @pytest.mark.parametrize("other", [{"fingerprint": b"g"}, {"tenant": "other"}])
 def test_key_of_another_request_is_reused(harness, other):
     harness.add(make_claim(KEY, b"1"), make_claim(KEY, b"2", **other))
-    assert harness.verdicts() == [Verdict.WON, Verdict.KEY_REUSED]
+    assert harness.verdicts() == [ClaimVerdict.WON, ClaimVerdict.KEY_REUSED]
 
 
-def test_claim_read_twice_is_judged_once(harness):
+def test_claim_read_twice_is_decided_once(harness):
     harness.add(make_claim(KEY, b"1"))
     harness.add(make_claim(KEY, b"1"))
-    assert harness.verdicts() == [Verdict.WON]
+    assert harness.verdicts() == [ClaimVerdict.WON]
 
 
 def test_release_by_the_holder_frees_the_key(harness):
     harness.add(make_claim(KEY, b"1"), Release(b"1", "pay", KEY), make_claim(KEY, b"2"))
-    assert harness.verdicts() == [Verdict.WON, Verdict.WON]
+    assert harness.verdicts() == [ClaimVerdict.WON, ClaimVerdict.WON]
 
 
 def test_release_by_another_claim_frees_nothing(harness):
@@ -96,7 +96,7 @@
 
 def test_released_claim_that_arrives_late_does_not_win(harness):
     harness.add(Release(b"1", "pay", KEY), make_claim(KEY, b"1"), make_claim(KEY, b"2"))
-    assert harness.verdicts() == [Verdict.WON]
+    assert harness.verdicts() == [ClaimVerdict.WON]
     assert harness.table.get_entry(KEY_ID).holder.claim_id == b"2"
 
 
@@ -108,12 +108,12 @@
 
 def test_claim_appended_after_its_deadline_does_not_win(harness):
     harness.add(make_claim(KEY, b"1", deadline_s=NOW_S + 1), at_s=NOW_S + 3.5)
-    assert harness.verdicts() == [Verdict.TOO_LATE]
+    assert harness.verdicts() == [ClaimVerdict.TOO_LATE]
 
 
 def test_result_of_the_holder_is_kept(harness):
     harness.add(make_claim(KEY, b"1"), make_result(b"1"), make_result(b"1", status=500))
-    assert harness.table.get_entry(KEY_ID).answer.status == 200
+    assert harness.table.get_entry(KEY_ID).response.status == 200
 
 
 def test_result_of_another_claim_is_ignored(harness):
@@ -164,7 +164,7 @@
     harness.add(make_claim(KEY, b"1"), make_settled(b"1", Settlement.RAN))
     harness.add(make_claim(KEY, b"2"))
     assert harness.state() is KeyState.SETTLED_RAN
-    assert harness.verdicts()[-1] is Verdict.LOST
+    assert harness.verdicts()[-1] is ClaimVerdict.LOST
 
 
 def test_settlement_of_a_known_outcome_is_rejected(harness):
@@ -186,7 +186,7 @@
     harness.stream.append(make_payload(), NOW_S + 18)
     harness.stream.earliest_offset = 1
     harness.add(make_claim(old, b"1"), make_claim(new, b"2"), at_s=NOW_S + 21)
-    assert harness.verdicts() == [Verdict.NOT_COVERED, Verdict.TOO_LATE]
+    assert harness.verdicts() == [ClaimVerdict.NOT_COVERED, ClaimVerdict.TOO_LATE]
     assert not harness.table.covers(NOW_S + 19.5)
     assert harness.table.covers(NOW_S + 19.6)
 
@@ -199,7 +199,7 @@
     assert harness.table.has_reached_end
 
 
-def test_answer_known_before_a_gap_stays_known(harness):
+def test_response_known_before_a_gap_stays_known(harness):
     harness.add(make_claim(KEY, b"1"), make_result(b"1"))
     harness.stream.append(make_payload(), NOW_S + 30)
     harness.stream.append(make_payload(), NOW_S + 30)
@@ -222,7 +222,7 @@
     harness.add(at_s=NOW_S + 60.1)
     assert len(harness.table) == 0
     harness.add(make_claim(KEY, b"2", deadline_s=NOW_S + 90), at_s=NOW_S + 60.1)
-    assert harness.verdicts()[-1] is Verdict.TOO_OLD
+    assert harness.verdicts()[-1] is ClaimVerdict.TOO_OLD
 
 
 def test_unresolved_keys_are_kept_longer(harness):
@@ -237,7 +237,7 @@
     harness.stream.append(b"\xff\x00", NOW_S)
     harness.add(make_claim("no-key", b"1"), make_claim(KEY, b"2"))
     assert harness.table.skipped_record_count == 2
-    assert harness.verdicts() == [Verdict.WON]
+    assert harness.verdicts() == [ClaimVerdict.WON]
 
 
 def test_records_read_twice_are_applied_once(harness):
--- a/packages/baobabring/baobabring/configuration/_validation.py
+++ b/packages/baobabring/baobabring/configuration/_validation.py
@@ -204,7 +204,7 @@
 
 def _address_findings(place: str, address: str) -> Iterator[Finding]:
     if not _is_address(address):
-        yield Finding(place, f"must be an IP address and a port, got {address!r}")
+        yield Finding(place, f"must be an IP number and a port, got {address!r}")
 
 
 def _is_address(address: str) -> bool:
--- a/packages/baobabring/baobabring/membership/_confirmation.py
+++ b/packages/baobabring/baobabring/membership/_confirmation.py
@@ -64,10 +64,10 @@
                 self._confirm(pending.confirmed_at_s)
                 del self._pending[peer_id]
 
-    def record_log_end(self, config_offset: int, asked_at_s: float) -> None:
-        """Record the log's end as found by a read that started at `asked_at_s`."""
+    def record_log_end(self, config_offset: int, read_started_at_s: float) -> None:
+        """Record the log's end that a read started at `read_started_at_s` found."""
         if config_offset <= self.config_offset:
-            self._confirm(asked_at_s)
+            self._confirm(read_started_at_s)
 
     def record_peer_confirmation(
         self, peer_id: str, config_offset: int, confirmed_at_s: float, now_s: float
--- a/packages/baobabring/baobabring/membership/_membership.py
+++ b/packages/baobabring/baobabring/membership/_membership.py
@@ -145,14 +145,14 @@
         entry.last_heartbeat_at_s = now_s
         return True
 
-    def members(self, now_s: float) -> list[Member]:
+    def get_members(self, now_s: float) -> list[Member]:
         """Return all other known instances with their states."""
         return [
             self._create_member(instance_id, entry, now_s)
             for instance_id, entry in self._known_entries(now_s)
         ]
 
-    def live(self, now_s: float) -> list[str]:
+    def get_live_instances(self, now_s: float) -> list[str]:
         """Return the sorted live instances, including this one."""
         live = [
             instance_id
@@ -161,11 +161,11 @@
         ]
         return sorted([*live, self.instance_id])
 
-    def peers(self, now_s: float) -> list[Member]:
+    def get_peers(self, now_s: float) -> list[Member]:
         """Return the other instances that are live or leaving."""
         return [
             member
-            for member in self.members(now_s)
+            for member in self.get_members(now_s)
             if member.state is not MemberState.SILENT
         ]
 
@@ -177,7 +177,7 @@
             if now_s - entry.last_seen_at_s > self.settings.suspect_after_s
         ]
 
-    def reachable_share(self, now_s: float) -> float:
+    def get_reachable_share(self, now_s: float) -> float:
         """Return the share of reachable instances among the listed ones and this one.
 
         An instance that vanished from the list without leaving counts as listed for
@@ -194,7 +194,7 @@
         reachable = sum(self._is_reachable(entry, now_s) for entry in listed)
         return (reachable + 1) / (len(listed) + 1)
 
-    def fleet_size(self, now_s: float) -> int:
+    def get_fleet_size(self, now_s: float) -> int:
         """Return the larger of the list's length and the number of known instances."""
         return max(self._listed_count, len(self._known_entries(now_s)) + 1)
 
--- a/packages/baobabring/baobabring/membership/tests/test_membership.py
+++ b/packages/baobabring/baobabring/membership/tests/test_membership.py
@@ -28,8 +28,10 @@
     return membership
 
 
-def state_of(membership, instance_id, now_s):
-    states = {member.instance_id: member.state for member in membership.members(now_s)}
+def get_state(membership, instance_id, now_s):
+    states = {
+        member.instance_id: member.state for member in membership.get_members(now_s)
+    }
     return states.get(instance_id)
 
 
@@ -41,43 +43,43 @@
 
 def test_listed_instance_is_live_until_silent():
     membership = make_membership("me", "a")
-    assert membership.live(2.0) == ["a", "me"]
-    assert membership.live(3.0) == ["me"]
-    assert state_of(membership, "a", 3.0) is MemberState.SILENT
+    assert membership.get_live_instances(2.0) == ["a", "me"]
+    assert membership.get_live_instances(3.0) == ["me"]
+    assert get_state(membership, "a", 3.0) is MemberState.SILENT
 
 
 def test_instance_missing_from_the_list_stays_live_with_heartbeats():
     membership = make_membership("a")
     membership.record_heartbeat(make_heartbeat("a"), 5.0)
     membership.apply_list((), 6.0)
-    assert membership.live(7.0) == ["a", "me"]
+    assert membership.get_live_instances(7.0) == ["a", "me"]
 
 
 def test_unlisted_instance_is_live_after_a_heartbeat():
     membership = make_membership("me")
     membership.record_heartbeat(make_heartbeat("new"), 1.0)
-    assert membership.live(1.0) == ["me", "new"]
+    assert membership.get_live_instances(1.0) == ["me", "new"]
 
 
 def test_unlisted_silent_instance_is_removed():
     membership = make_membership("a")
     membership.apply_list((), 1.0)
-    assert state_of(membership, "a", 30.0) is MemberState.SILENT
-    assert membership.members(40.0) == []
+    assert get_state(membership, "a", 30.0) is MemberState.SILENT
+    assert membership.get_members(40.0) == []
 
 
 def test_instances_lost_from_the_list_count_as_unreachable_for_a_while():
     membership = make_membership("me", "a", "b")
     membership.apply_list((), 10.0)
-    assert membership.reachable_share(10.0) == pytest.approx(1 / 3)
-    assert membership.reachable_share(41.0) == 1.0
+    assert membership.get_reachable_share(10.0) == pytest.approx(1 / 3)
+    assert membership.get_reachable_share(41.0) == 1.0
 
 
 def test_instance_that_left_does_not_count_as_unreachable():
     membership = make_membership("me", "a")
     membership.record_heartbeat(make_heartbeat("a", state=InstanceState.LEAVING), 1.0)
     membership.apply_list((make_info("me"),), 2.0)
-    assert membership.reachable_share(9.0) == 1.0
+    assert membership.get_reachable_share(9.0) == 1.0
 
 
 def test_heartbeat_or_list_can_report_an_instance_as_leaving():
@@ -86,9 +88,9 @@
     membership.apply_list(
         (make_info("a"), make_info("b", InstanceState.LEAVING)), now_s=1.0
     )
-    assert state_of(membership, "a", 1.0) is MemberState.LEAVING
-    assert state_of(membership, "b", 1.0) is MemberState.LEAVING
-    assert [member.instance_id for member in membership.peers(1.0)] == ["a", "b"]
+    assert get_state(membership, "a", 1.0) is MemberState.LEAVING
+    assert get_state(membership, "b", 1.0) is MemberState.LEAVING
+    assert [member.instance_id for member in membership.get_peers(1.0)] == ["a", "b"]
 
 
 def test_out_of_order_heartbeat_is_ignored():
@@ -97,8 +99,8 @@
         make_heartbeat("a", 2, InstanceState.LEAVING), 1.0
     )
     assert not membership.record_heartbeat(make_heartbeat("a", 1), 9.0)
-    assert state_of(membership, "a", 2.0) is MemberState.LEAVING
-    assert state_of(membership, "a", 9.0) is MemberState.SILENT
+    assert get_state(membership, "a", 2.0) is MemberState.LEAVING
+    assert get_state(membership, "a", 9.0) is MemberState.SILENT
 
 
 def test_instance_is_suspected_before_it_is_silent():
@@ -106,23 +108,23 @@
     membership.record_heartbeat(make_heartbeat("a"), 0.0)
     assert membership.suspected_peers(1.0) == []
     assert [member.instance_id for member in membership.suspected_peers(2.0)] == ["a"]
-    assert state_of(membership, "a", 2.0) is MemberState.LIVE
+    assert get_state(membership, "a", 2.0) is MemberState.LIVE
 
 
 def test_reachable_share_counts_listed_instances():
     membership = make_membership("me", "a", "b", "c")
     membership.record_heartbeat(make_heartbeat("a"), 1.0)
     membership.record_heartbeat(make_heartbeat("unlisted"), 1.0)
-    assert membership.reachable_share(1.0) == 0.5
-    assert create_membership("me").reachable_share(1.0) == 0.0
+    assert membership.get_reachable_share(1.0) == 0.5
+    assert create_membership("me").get_reachable_share(1.0) == 0.0
 
 
 def test_fleet_size_is_the_larger_of_listed_and_known_instances():
     membership = make_membership("me", "a", "b")
-    assert membership.fleet_size(100.0) == 3
+    assert membership.get_fleet_size(100.0) == 3
     for sender in ("x", "y", "z"):
         membership.record_heartbeat(make_heartbeat(sender), 100.0)
-    assert membership.fleet_size(100.0) == 6
+    assert membership.get_fleet_size(100.0) == 6
 
 
 def test_settings_must_increase():
@@ -145,7 +147,9 @@
         now_s += elapsed_s
         state = InstanceState.LEAVING if leaving else InstanceState.LIVE
         with_others.record_heartbeat(make_heartbeat(sender, number, state), now_s)
-        assert state_of(without_others, "a", now_s) is state_of(with_others, "a", now_s)
-        assert with_others.reachable_share(now_s) == without_others.reachable_share(
-            now_s
+        assert get_state(without_others, "a", now_s) is get_state(
+            with_others, "a", now_s
         )
+        assert with_others.get_reachable_share(
+            now_s
+        ) == without_others.get_reachable_share(now_s)
--- a/packages/baobabring/baobabring/model/__init__.py
+++ b/packages/baobabring/baobabring/model/__init__.py
@@ -11,7 +11,6 @@
     ZoneState,
 )
 from baobabring.model._outcomes import (
-    Answer,
     Answered,
     AttemptOutcome,
     CallOutcome,
@@ -20,12 +19,12 @@
     Lost,
     NotRun,
     Reason,
+    Response,
     Shed,
     Unknown,
 )
 
 __all__ = [
-    "Answer",
     "Answered",
     "AttemptOutcome",
     "Call",
@@ -37,6 +36,7 @@
     "Lost",
     "NotRun",
     "Reason",
+    "Response",
     "Rule",
     "Service",
     "Shed",
--- a/packages/baobabring/baobabring/model/_config.py
+++ b/packages/baobabring/baobabring/model/_config.py
@@ -73,6 +73,6 @@
     services: dict[str, Service] = field(default_factory=dict)
     zones_out: frozenset[str] = frozenset()
 
-    def zone_state(self, zone: str) -> ZoneState:
+    def get_zone_state(self, zone: str) -> ZoneState:
         """Return the state of an availability zone."""
         return ZoneState.OUT if zone in self.zones_out else ZoneState.IN
--- a/packages/baobabring/baobabring/model/_outcomes.py
+++ b/packages/baobabring/baobabring/model/_outcomes.py
@@ -28,8 +28,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """Represent a target's complete answer."""
+class Response:
+    """Represent a target's complete response."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -38,9 +38,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Completed:
-    """Represent a call that ran and whose complete answer arrived."""
+    """Represent a call that ran and whose complete response arrived."""
 
-    answer: Answer
+    response: Response
     replayed: bool = False
     body_kept: bool = True
 
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Represent the load that a target reported in an answer or a probe."""
+    """Represent the load that a target reported in a response to a call or a probe."""
 
     in_flight: int
     slots: int
@@ -76,9 +76,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """Represent an attempt with a complete answer, which may be an error status."""
+    """Represent an attempt that got a complete response, whatever its status."""
 
-    answer: Answer
+    response: Response
     report: LoadReport | None
     first_byte_ms: float
 
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """Represent an attempt that was sent and got no complete answer."""
+    """Represent an attempt that was sent and got no complete response."""
 
     reason: Reason
 
--- a/packages/baobabring/baobabring/operators/_replies.py
+++ b/packages/baobabring/baobabring/operators/_replies.py
@@ -69,7 +69,8 @@
         revision=configuration.revision,
         services=[_from_service(services[name]) for name in sorted(services)],
         zones=[
-            _from_zone(zone, configuration.zone_state(zone)) for zone in sorted(zones)
+            _from_zone(zone, configuration.get_zone_state(zone))
+            for zone in sorted(zones)
         ],
     )
 
--- a/packages/baobabring/baobabring/peers/_frames.py
+++ b/packages/baobabring/baobabring/peers/_frames.py
@@ -38,7 +38,7 @@
 
     sender: str
     configuration: bytes
-    cold_starts: bytes
+    cold_start_snapshot: bytes
 
 
 PeerMessage = (
--- a/packages/baobabring/baobabring/program/_call_metrics.py
+++ b/packages/baobabring/baobabring/program/_call_metrics.py
@@ -4,8 +4,8 @@
 
 from prometheus_client import Counter, Histogram
 
-from baobabring.callers import outcome_name
-from baobabring.calls import AnswerCall
+from baobabring.callers import get_outcome_name
+from baobabring.calls import FinishCall
 from baobabring.model import AttemptOutcome, Completed
 from baobabring.program._metrics import (
     ATTEMPTS,
@@ -22,8 +22,8 @@
     def __init__(self) -> None:
         self._tenant_labels = TenantLabels()
 
-    def count_call(self, command: AnswerCall, now_s: float) -> None:
-        """Count a call that got its final answer."""
+    def count_call(self, command: FinishCall, now_s: float) -> None:
+        """Count a call that ended."""
         call = command.call
         elapsed_s = now_s - call.arrived_at_s
         request_class = call.rule.request_class
@@ -32,7 +32,7 @@
         _tenant_histogram(tenant).observe(elapsed_s)
         outcome = command.outcome
         reason = "" if isinstance(outcome, Completed) else outcome.reason.value
-        name = outcome_name(outcome)
+        name = get_outcome_name(outcome)
         _call_counter(call.service_id, request_class, name, reason).inc()
 
     def count_attempt(self, service_id: str, outcome: AttemptOutcome) -> None:
--- a/packages/baobabring/baobabring/program/_claims_task.py
+++ b/packages/baobabring/baobabring/program/_claims_task.py
@@ -37,8 +37,8 @@
         self._handler: EventHandler | None = None
         self._append_tasks: set[asyncio.Task] = set()
 
-    def start(self, handler: EventHandler) -> None:
-        """Set the handler that is called with all events."""
+    def set_event_handler(self, handler: EventHandler) -> None:
+        """Set the handler that is called with all claim events."""
         self._handler = handler
 
     async def run(self) -> None:
@@ -63,7 +63,7 @@
         stream = get_stream_name(partition)
         while True:
             started_at_s = self.clock.now_s()
-            offset = self.claims.next_offset(partition)
+            offset = self.claims.get_next_offset(partition)
             outcome = await self.log.read(stream, offset, READ_WAIT_MS)
             events = self.claims.apply_page(
                 partition, outcome, started_at_s, self.clock.now_s()
--- a/packages/baobabring/baobabring/program/_control_plane.py
+++ b/packages/baobabring/baobabring/program/_control_plane.py
@@ -36,7 +36,7 @@
 
 
 class InstanceControlPlane(ControlPlane):
-    """Carry out the operators' calls with the parts of this instance."""
+    """Execute the operators' calls with the parts of this instance."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
             heartbeat_age_ms=0,
             confirmed_age_ms=self._age_ms(self.membership.tracker.confirmed_at_s),
         )
-        peers = [self._peer_status(member) for member in self.membership.members()]
+        peers = [self._peer_status(member) for member in self.membership.get_members()]
         return (own, *sorted(peers, key=lambda peer: peer.instance_id))
 
     def _peer_status(self, member: Member) -> InstanceStatus:
@@ -100,7 +100,7 @@
 
     def get_unknown_outcomes(self) -> tuple[UnknownOutcome, ...]:
         """Return the unknown outcomes that this instance has read from the log."""
-        return tuple(self.claims.unknown_outcomes(self.clock.now_s()))
+        return tuple(self.claims.get_unknown_outcomes(self.clock.now_s()))
 
     async def settle(
         self, service_id: str, key: str, settlement: Settlement, deadline_s: float
--- a/packages/baobabring/baobabring/program/_dispatcher.py
+++ b/packages/baobabring/baobabring/program/_dispatcher.py
@@ -1,4 +1,4 @@
-"""Execution of the call engine's commands as attempts and answers."""
+"""Execution of the call engine's commands."""
 
 import asyncio
 import contextlib
@@ -9,9 +9,9 @@
 
 from baobabring.callers import CallHandler, CallResult
 from baobabring.calls import (
-    AnswerCall,
     CallEngine,
     CancelAttempt,
+    FinishCall,
     Router,
     StartAttempt,
 )
@@ -60,11 +60,11 @@
     # Interface for callers
 
     def get_router(self) -> Router:
-        """Return the router of the configuration in force."""
+        """Return the router of the current configuration."""
         return self._router
 
     def create_call_id(self) -> str:
-        """Return an id that no other call of the fleet has."""
+        """Return an id that is unique in the fleet."""
         self._call_count += 1
         return f"{self._call_id_prefix}-{self._call_count}"
 
@@ -81,21 +81,21 @@
 
     def on_caller_disconnect(self, call_id: str) -> None:
         """Handle the disconnect of a caller."""
-        self.engine.caller_left(call_id, self.clock.now_s())
+        self.engine.on_caller_disconnect(call_id, self.clock.now_s())
         self.run_commands()
 
     def is_ready(self) -> bool:
-        """Return whether the platform's balancer should send calls here."""
+        """Return whether the platform's load balancer should send calls here."""
         return self._ready
 
     def now_s(self) -> float:
-        """Return the current time of the clock that measures calls."""
+        """Return the current time of the clock that call deadlines refer to."""
         return self.clock.now_s()
 
     # Interface for the instance runner
 
     def set_ready(self, ready: bool) -> None:
-        """Set whether the platform's balancer should send calls here."""
+        """Set whether the platform's load balancer should send calls here."""
         self._ready = ready
 
     def configure(self, configuration: Configuration) -> None:
@@ -114,12 +114,12 @@
         )
 
     def start_shutdown(self) -> None:
-        """Become not ready, and tell callers to connect to other instances."""
+        """Become not ready, and close callers' connections after their responses."""
         self._ready = False
         self._shutting_down = True
 
     def is_configuration_confirmed(self) -> bool:
-        """Return whether a service that is unknown here can be taken not to exist."""
+        """Return whether the configuration is confirmed and so lists every service."""
         return self.engine.can_start_attempts
 
     def is_shutting_down(self) -> bool:
@@ -153,7 +153,7 @@
                 await self._call_arrived.wait()
 
     def is_idle(self) -> bool:
-        """Return whether every call has its final answer."""
+        """Return whether no call is in progress."""
         return self.engine.calls_in_progress == 0
 
     def run_commands(self) -> None:
@@ -164,7 +164,7 @@
             elif isinstance(command, CancelAttempt):
                 self._cancel_attempt(command)
             else:
-                self._answer(command)
+                self._finish_call(command)
 
     def _start_attempt(self, command: StartAttempt) -> None:
         task = asyncio.ensure_future(self._run_attempt(command))
@@ -179,7 +179,7 @@
             new_connection=command.new_connection,
         )
         try:
-            outcome = await self.client.attempt(plan)
+            outcome = await self.client.send_attempt(plan)
         except Exception:
             # The request may have been sent before the exception.
             LOG.exception("attempt failed", call=plan.call.call_id)
@@ -189,7 +189,7 @@
         self.metrics.count_attempt(call.service_id, outcome)
         now_s = self.clock.now_s()
         self.probe_scheduler.record_traffic(command.target_id, now_s)
-        self.engine.attempt_ended(call.call_id, command.attempt, outcome, now_s)
+        self.engine.record_attempt_end(call.call_id, command.attempt, outcome, now_s)
         self.run_commands()
 
     def _cancel_attempt(self, command: CancelAttempt) -> None:
@@ -197,7 +197,7 @@
         if task is not None:
             task.cancel()
 
-    def _answer(self, command: AnswerCall) -> None:
+    def _finish_call(self, command: FinishCall) -> None:
         self.metrics.count_call(command, self.clock.now_s())
         call_id = command.call.call_id
         future = self._futures.pop(call_id, None)
--- a/packages/baobabring/baobabring/program/_instance.py
+++ b/packages/baobabring/baobabring/program/_instance.py
@@ -11,7 +11,7 @@
 import zmq
 
 from baobabring.callers import create_app, create_server_config
-from baobabring.calls import longest_deadline_ms
+from baobabring.calls import get_longest_deadline_ms
 from baobabring.model import Configuration, TargetState, ZoneState
 from baobabring.operators import create_operators_server, read_certificates
 from baobabring.program._control_plane import InstanceControlPlane
@@ -90,7 +90,7 @@
         except zmq.ZMQError as error:
             address = self.settings.peers.address
             raise AddressError("peers", address, str(error)) from error
-        parts.claims_task.start(parts.dispatcher.apply_claim_events)
+        parts.claims_task.set_event_handler(parts.dispatcher.apply_claim_events)
         parts.dispatcher.set_claims_flush(parts.claims_task.flush)
         parts.reader.add_listener(self._on_configuration)
         if self.settings.peers.key_file is None:
@@ -163,8 +163,8 @@
         """Pass the view of the fleet to the parts that divide work or limits by it."""
         parts = self.parts
         now_s = parts.clock.now_s()
-        live = parts.membership.live()
-        fleet_size = parts.membership.membership.fleet_size(now_s)
+        live = parts.membership.get_live_instances()
+        fleet_size = parts.membership.membership.get_fleet_size(now_s)
         parts.balancer.set_live(live)
         parts.claims.set_live_instances(fleet_size, now_s)
         parts.probe_task.scheduler.set_instances(live, fleet_size, now_s)
@@ -198,12 +198,12 @@
 
     def _drain_timeout_s(self) -> float:
         """Return how long the last calls and the appends of their records may take."""
-        longest_ms = longest_deadline_ms(self.parts.reader.configuration)
+        longest_ms = get_longest_deadline_ms(self.parts.reader.configuration)
         return longest_ms / MS_PER_S + RECORD_APPEND_MARGIN_S
 
     async def _wait_until_idle(self) -> None:
         parts = self.parts
-        while not (parts.dispatcher.is_idle() and parts.claims.idle):
+        while not (parts.dispatcher.is_idle() and parts.claims.is_idle):
             await asyncio.sleep(IDLE_POLL_INTERVAL_S)
 
     async def _close(self) -> None:
@@ -219,7 +219,7 @@
         for service in configuration.services.values()
         for target in service.targets
         if target.state is TargetState.ACTIVE
-        and configuration.zone_state(target.zone) is ZoneState.IN
+        and configuration.get_zone_state(target.zone) is ZoneState.IN
     ]
 
 
--- a/packages/baobabring/baobabring/program/_membership_task.py
+++ b/packages/baobabring/baobabring/program/_membership_task.py
@@ -72,23 +72,23 @@
         self._heartbeat_listeners.append(listener)
 
     def confirmation_status(self) -> ConfirmationStatus:
-        """Return whether attempts may start under the current configuration."""
+        """Return the confirmation status of the current configuration."""
         now_s = self.clock.now_s()
         return self.tracker.confirmation_status(
-            now_s, self.membership.reachable_share(now_s)
+            now_s, self.membership.get_reachable_share(now_s)
         )
 
     def can_start_attempts(self) -> bool:
-        """Return whether this instance would know by now of a zone taken out."""
+        """Return whether attempts may start; not if a zone may be out unnoticed."""
         return not isinstance(self.confirmation_status(), Isolated)
 
-    def live(self) -> frozenset[str]:
+    def get_live_instances(self) -> frozenset[str]:
         """Return the live instances, including this one."""
-        return frozenset(self.membership.live(self.clock.now_s()))
+        return frozenset(self.membership.get_live_instances(self.clock.now_s()))
 
-    def members(self) -> list[Member]:
+    def get_members(self) -> list[Member]:
         """Return all other known instances."""
-        return self.membership.members(self.clock.now_s())
+        return self.membership.get_members(self.clock.now_s())
 
     async def announce_leaving(self) -> None:
         """Announce to the platform and the peers that this instance is leaving."""
@@ -121,7 +121,7 @@
 
     def _send_heartbeat(self) -> None:
         now_s = self.clock.now_s()
-        members = self.membership.members(now_s)
+        members = self.membership.get_members(now_s)
         self.link.set_peers(frozenset(member.peer_address for member in members))
         self._sequence += 1
         self.link.broadcast(
@@ -160,7 +160,7 @@
                 self.link.reconnect(member.peer_address)
 
     def _update_peer_states(self) -> None:
-        members = self.members()
+        members = self.get_members()
         states = {member.instance_id: member.state for member in members}
         for instance_id, state in states.items():
             if self._peer_states.get(instance_id) is not state:
--- a/packages/baobabring/baobabring/program/_parts.py
+++ b/packages/baobabring/baobabring/program/_parts.py
@@ -80,16 +80,18 @@
     balancer = create_balancer(
         settings.instance.id,
         settings.instance.zone,
-        _balancing_settings(settings),
+        _create_balancing_settings(settings),
         rng,
     )
     claims = create_claim_coordinator(
         settings.instance.id,
         settings.claims.partitions,
-        _claim_settings(settings),
+        _create_claim_settings(settings),
         rng,
     )
-    scheduler = create_probe_scheduler(settings.instance.id, _probe_settings(settings))
+    scheduler = create_probe_scheduler(
+        settings.instance.id, _create_probe_settings(settings)
+    )
     engine = _create_engine(settings, balancer, claims, rng)
     reader = ConfigurationReader(log, clock, settings.platform.log_retention_s, rng)
     membership = _create_membership_task(settings, session, link, clock)
@@ -170,7 +172,7 @@
     return ColdStartTask(balancer.cold_start, log, clock)
 
 
-def _balancing_settings(settings: Settings) -> BalancingSettings:
+def _create_balancing_settings(settings: Settings) -> BalancingSettings:
     section = settings.balancing
     return BalancingSettings(
         policy=section.policy,
@@ -181,7 +183,7 @@
     )
 
 
-def _claim_settings(settings: Settings) -> ClaimSettings:
+def _create_claim_settings(settings: Settings) -> ClaimSettings:
     window_s = settings.claims.window_s
     return ClaimSettings(
         window_s=window_s,
@@ -191,7 +193,7 @@
     )
 
 
-def _probe_settings(settings: Settings) -> ProbeSettings:
+def _create_probe_settings(settings: Settings) -> ProbeSettings:
     return ProbeSettings(
         probe_budget_ms_per_s=settings.probing.budget_ms_per_s,
         probe_cost_ms=settings.probing.cost_ms,
--- a/packages/baobabring/baobabring/program/_state_exchange.py
+++ b/packages/baobabring/baobabring/program/_state_exchange.py
@@ -100,5 +100,5 @@
             LOG.info(
                 "configuration loaded from peer", peer=reply.sender, revision=revision
             )
-        if self.cold_start_guard.load_snapshot(reply.cold_starts):
+        if self.cold_start_guard.load_snapshot(reply.cold_start_snapshot):
             LOG.info("cold starts loaded from peer", peer=reply.sender)
--- a/packages/baobabring/baobabring/program/entry/_app.py
+++ b/packages/baobabring/baobabring/program/entry/_app.py
@@ -10,7 +10,7 @@
 from baobabring.callers import (
     CallerConnectionMiddleware,
     RejectedRequest,
-    encoded_path,
+    get_encoded_path,
     has_body,
     read_body,
 )
@@ -61,7 +61,7 @@
     ) -> EntryOutcome:
         caller_request = CallerRequest(
             method=request.method,
-            path=encoded_path(request),
+            path=get_encoded_path(request),
             host=request.get_header("Host") or "",
             headers=request.scope["headers"],
             body=body,
--- a/packages/baobabring/baobabring/program/tests/test_probe_task.py
+++ b/packages/baobabring/baobabring/program/tests/test_probe_task.py
@@ -21,8 +21,8 @@
 def fail_until_ejected(balancer, target_id: str, now_s: float) -> None:
     """Record failures of a target until it is ejected."""
     for _ in range(5):
-        balancer.attempt_started(target_id, now_s)
-        balancer.attempt_ended(target_id, Lost(Reason.CONNECTION_LOST), now_s)
+        balancer.record_attempt_start(target_id, now_s)
+        balancer.record_attempt_end(target_id, Lost(Reason.CONNECTION_LOST), now_s)
 
 
 def test_target_is_probed_soon_after_ejection_and_after_return():
--- a/packages/baobabring/baobabring/program/tests/test_recorded_bytes.py
+++ b/packages/baobabring/baobabring/program/tests/test_recorded_bytes.py
@@ -140,7 +140,7 @@
         notices=(ColdNotice(target_id="t-1", cold_epoch=9),),
     ),
     "StateRequest": StateRequest(sender="i", reply_address="127.0.0.1:1"),
-    "StateReply": StateReply(sender="i", configuration=b"x", cold_starts=b"y"),
+    "StateReply": StateReply(sender="i", configuration=b"x", cold_start_snapshot=b"y"),
     "SharedProbe": SharedProbe(target_id="t-1", probed_at_s=1.0, healthy=True),
     "InstanceAlive": InstanceAlive(
         sender="i",
--- a/packages/baobabring/baobabring/targets/_client.py
+++ b/packages/baobabring/baobabring/targets/_client.py
@@ -10,13 +10,13 @@
 from yarl import URL
 
 from baobabring.model import (
-    Answer,
     Answered,
     AttemptOutcome,
     Call,
     LoadReport,
     Lost,
     Reason,
+    Response,
     Shed,
 )
 from baobabring.utils import Clock
@@ -79,7 +79,7 @@
     """Send attempts and probes to targets."""
 
     @abstractmethod
-    async def attempt(self, plan: AttemptPlan) -> AttemptOutcome:
+    async def send_attempt(self, plan: AttemptPlan) -> AttemptOutcome:
         """Send a call once; cancelling the task also cancels it at the target."""
 
     @abstractmethod
@@ -157,7 +157,7 @@
         self.response_limit_bytes = response_limit_bytes
         self.clock = clock
 
-    async def attempt(self, plan: AttemptPlan) -> AttemptOutcome:
+    async def send_attempt(self, plan: AttemptPlan) -> AttemptOutcome:
         """Send a call once; cancelling the task also cancels it at the target."""
         started_at_s = self.clock.now_s()
         time_left_s = plan.deadline_s - started_at_s
@@ -204,8 +204,8 @@
             for name, value in _select_forwarded(response.headers.items())
             if not name.lower().startswith(OWN_HEADER_PREFIX)
         )
-        answer = Answer(response.status, headers, body)
-        return Answered(answer, report, first_byte_ms)
+        target_response = Response(response.status, headers, body)
+        return Answered(target_response, report, first_byte_ms)
 
     async def probe(self, address: str) -> LoadReport | None:
         """Return the load that a target reports, or None without a valid response."""
