--- a/packages/baobabring/baobabring/connections/tests/test_connection.py
+++ b/packages/baobabring/baobabring/connections/tests/test_connection.py
@@ -70,17 +70,17 @@
 
 
 async def test_response_to_head_ends_with_its_headers():
-    response = b"HTTP/1.1 200 OK\r\nX-Call-Id: 1\r\nContent-Length: 3\r\n\r\n"
-    connection, response = await exchange(Target(response), request=HEAD_REQUEST)
+    raw_response = b"HTTP/1.1 200 OK\r\nX-Call-Id: 1\r\nContent-Length: 3\r\n\r\n"
+    connection, response = await exchange(Target(raw_response), request=HEAD_REQUEST)
     assert response.header(b"content-length") == b"3"
     assert bytes(response.body) == b""
     assert not connection.reusable
 
 
 async def test_response_to_head_with_other_call_id_is_an_error():
-    response = b"HTTP/1.1 200 OK\r\nX-Call-Id: 9\r\nContent-Length: 3\r\n\r\n"
+    raw_response = b"HTTP/1.1 200 OK\r\nX-Call-Id: 9\r\nContent-Length: 3\r\n\r\n"
     with pytest.raises(ExchangeError):
-        await exchange(Target(response), request=HEAD_REQUEST)
+        await exchange(Target(raw_response), request=HEAD_REQUEST)
 
 
 async def test_complete_response_is_returned():
--- a/packages/baobabring/baobabring/entry/_admission.py
+++ b/packages/baobabring/baobabring/entry/_admission.py
@@ -12,7 +12,7 @@
 MAX_WAIT_SHARE_OF_GOAL = 0.125
 PROBE_RETRY_DELAY_S = 0.012
 MIN_RETRY_AFTER_S = 0.03
-# Callers wait at most a third of their remaining time before a retry.
+# Callers wait at most this share of their remaining time before a retry.
 MAX_RETRY_SHARE_OF_TIME_LEFT = 0.3
 # Factor on the expected duration, since work often takes longer than expected. A call
 # that would barely meet its deadline should be retried rather than run in vain.
@@ -61,7 +61,7 @@
         can_probe_others: bool,
         now_s: float,
     ) -> Decision:
-        """Return the decision for a call by its offers, which are sorted by cost.
+        """Return the decision for a call based on its offers, which are sorted by cost.
 
         `can_probe_others` is set if targets are left that may be probed now.
         """
@@ -108,5 +108,5 @@
 
 
 def _cheapest_of(offers: Sequence[Offer], free: Offer) -> Offer:
-    """Return the offer of lower cost, which may require queueing at the target."""
+    """Return the cheaper of `free` and the first offer, which may require queueing."""
     return min(offers[0], free, key=lambda offer: offer.cost_ms)
--- a/packages/baobabring/baobabring/entry/_estimates.py
+++ b/packages/baobabring/baobabring/entry/_estimates.py
@@ -41,8 +41,8 @@
         """Return the factor on the processing time at a target without free slots."""
         average = self._saturation_slowdowns.get(service_id)
         value = average.value if average is not None else INITIAL_SATURATION_SLOWDOWN
-        least, most = SATURATION_SLOWDOWN_RANGE
-        return min(max(value, least), most)
+        min_slowdown, max_slowdown = SATURATION_SLOWDOWN_RANGE
+        return min(max(value, min_slowdown), max_slowdown)
 
     def expected_slowdown(self, call: EntryCall, reported: float) -> float:
         """Return the expected mean slowdown during a call, given the reported one."""
--- a/packages/baobabring/baobabring/entry/_model.py
+++ b/packages/baobabring/baobabring/entry/_model.py
@@ -106,8 +106,8 @@
 class EntryCall:
     """Represent one caller's request, its route and its time limits.
 
-    `deadline_s` is the time at which the caller or the route gives up. An
-    answer is worth most until `goal_at_s`, when the latency goal is exceeded.
+    `deadline_s` is the time at which the caller or the route gives up. A
+    response is worth most until `goal_at_s`, when the latency goal is exceeded.
     """
 
     call_id: str
--- a/packages/baobabring/baobabring/entry/_outcomes.py
+++ b/packages/baobabring/baobabring/entry/_outcomes.py
@@ -35,7 +35,7 @@
 class Delivered:
     """Report that a target responded, with a success or an error."""
 
-    answer: TargetResponse
+    response: TargetResponse
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +67,7 @@
 class AttemptAnswered:
     """Report that the target sent a complete response that belongs to the call."""
 
-    answer: TargetResponse
+    response: TargetResponse
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/baobabring/baobabring/entry/_probe_rate_budget.py
+++ b/packages/baobabring/baobabring/entry/_probe_rate_budget.py
@@ -3,6 +3,7 @@
 # Share of the limit that is planned for. The rest covers probes that are not
 # yet reported.
 PLANNED_SHARE = 0.75
+# Minimum share of the wanted probes that are sent.
 MIN_SHARE = 0.25
 # Fraction of the correction applied per update, small enough to avoid oscillation.
 SHARE_GAIN = 0.5
@@ -20,17 +21,17 @@
     def __init__(self, probes_per_target_s: float) -> None:
         self.probes_per_target_s = probes_per_target_s
         self.share = 1.0
-        self._targets = 0
+        self._target_count = 0
         self._sent_count = 0
         self._fraction_left = 0.0
 
-    def set_targets(self, targets: int) -> None:
+    def set_target_count(self, target_count: int) -> None:
         """Set the number of targets."""
-        self._targets = targets
+        self._target_count = target_count
 
     def set_fleet_rate(self, probes_per_s: float) -> None:
         """Update the share from the recent probe rate of all instances."""
-        limit_per_s = self.probes_per_target_s * PLANNED_SHARE * self._targets
+        limit_per_s = self.probes_per_target_s * PLANNED_SHARE * self._target_count
         if limit_per_s <= 0 or probes_per_s <= 0:
             return
         wanted = self.share * limit_per_s / probes_per_s
--- a/packages/baobabring/baobabring/entry/_read_schedule.py
+++ b/packages/baobabring/baobabring/entry/_read_schedule.py
@@ -12,9 +12,10 @@
 MAX_FIRST_READ_STEPS = 20
 # Instances of a new fleet get this time to discover each other before the first read.
 NEW_FLEET_READ_DELAY_S = 0.4
-# A reader that is silent for this long is replaced. The other instances try to take
-# over one after another, with a fixed delay between them.
+# A reader that is silent for this long is considered failed: other instances try to
+# take over, and any instance that knows the view sends it to joining ones.
 READER_TIMEOUT_S = 1.0
+# Instances try to take over one after another, with this delay between them.
 TAKEOVER_STAGGER_S = 0.12
 MAX_TAKEOVER_STEPS = 8
 MIN_FAILURE_PAUSE_S = 0.4
--- a/packages/baobabring/baobabring/entry/_settings.py
+++ b/packages/baobabring/baobabring/entry/_settings.py
@@ -16,7 +16,7 @@
     retry_window_ms : float
         Length of the window.
     probes_per_target_s : float
-        Load probes that one target may receive per second.
+        Health probes that one target may receive per second.
     shutdown_ms : float
         Time from the shutdown signal until the process is killed.
     """
--- a/packages/baobabring/baobabring/entry/_shared_view.py
+++ b/packages/baobabring/baobabring/entry/_shared_view.py
@@ -56,7 +56,7 @@
         return known and self.view.configuration.version > 0
 
     def store_was_unreachable(self, now_s: float) -> bool:
-        """Return whether the store has been unreachable until now."""
+        """Return whether the store may have been unreachable until now."""
         if self.confirmed_at_s is None:
             return False
         return now_s - self.confirmed_at_s > STORE_UNREACHABLE_AFTER_S
@@ -88,7 +88,7 @@
         self.confirmed_at_s = max(at_s, self.confirmed_at_s or at_s)
 
     def tick(self, now_s: float) -> bool:
-        """Remove targets that are due for removal; return whether any."""
+        """Remove targets that did not register again; return whether there were any."""
         changed = self.view.tick(now_s)
         self._update_version(changed)
         return changed
@@ -100,7 +100,7 @@
             self._digest = (self.version, xxhash.xxh64_intdigest(fields))
         return self._digest[1]
 
-    def heartbeat(self, fleet: FleetStatus, now_s: float) -> ViewHeartbeat:
+    def build_heartbeat(self, status: FleetStatus, now_s: float) -> ViewHeartbeat:
         """Return the message that confirms the view to peers."""
         return ViewHeartbeat(
             sender=self.instance_id,
@@ -109,12 +109,12 @@
             target_offset=self.target_offset,
             age_ms=self._age_ms(now_s),
             digest=self.digest(),
-            instances=fleet.instances,
-            probes_per_s=fleet.probes_per_s,
-            failures=fleet.failures,
+            instances=status.instances,
+            probes_per_s=status.probes_per_s,
+            failures=status.failures,
         )
 
-    def state(self, instances: Mapping[str, str], now_s: float) -> ViewState:
+    def build_state(self, instances: Mapping[str, str], now_s: float) -> ViewState:
         """Return the message that contains the complete view."""
         return ViewState(
             sender=self.instance_id,
@@ -133,7 +133,7 @@
         self._sent_configuration_version = self.view.configuration.version
         self._sent_digest = self.digest()
 
-    def delta(self, now_s: float) -> ViewDelta | None:
+    def build_delta(self, now_s: float) -> ViewDelta | None:
         """Return the changes since the view that peers know, None if there are none."""
         if self.digest() == self._sent_digest:
             return None
--- a/packages/baobabring/baobabring/entry/_subsets.py
+++ b/packages/baobabring/baobabring/entry/_subsets.py
@@ -9,6 +9,7 @@
 # With more targets, an instance has too few calls to keep connections to all of them
 # open; with fewer, it seldom finds an idle target.
 SUBSET_SIZE = 16
+# Targets of the instance's own zone, or more if the other zones have too few.
 LOCAL_TARGETS = 10
 
 
--- a/packages/baobabring/baobabring/entry/_target_ranker.py
+++ b/packages/baobabring/baobabring/entry/_target_ranker.py
@@ -1,4 +1,4 @@
-"""Ranking of the targets to probe and of those that answered."""
+"""Ranking of the targets to probe and of those that responded."""
 
 from collections.abc import Collection, Sequence
 from dataclasses import dataclass
@@ -41,7 +41,7 @@
 class Offer:
     """Represent the expected duration and cost of a call at one target.
 
-    `finish_ms` is the expected time until the answer. `cost_ms` adds the risk of a
+    `finish_ms` is the expected time until the response. `cost_ms` adds the risk of a
     failure and the delay of other calls to it. `saturated` is set if the call would
     take the target's last slot or wait for one.
     """
@@ -73,12 +73,12 @@
         self.cold_start_limiter = cold_start_limiter
         self.rng = rng
         self.configuration = EntryConfiguration()
-        self.instances = 1
+        self.instance_count = 1
 
     def targets_to_probe(
         self,
         service_id: str,
-        exclude: Collection[str],
+        excluded_targets: Collection[str],
         now_s: float,
         count: int | None = None,
     ) -> list[TargetRecord]:
@@ -86,7 +86,7 @@
         candidates = [
             record
             for record in self.target_table.usable_targets(service_id)
-            if record.target.target_id not in exclude
+            if record.target.target_id not in excluded_targets
             and self._can_send_to(record, now_s)
         ]
         reachable = [r for r in candidates if r.unreachable_until_s <= now_s]
@@ -98,7 +98,7 @@
     def offers(
         self, call: EntryCall, reports: Sequence[HealthReport], now_s: float
     ) -> list[Offer]:
-        """Return the offers of the targets that answered a probe, cheapest first."""
+        """Return the offers of targets that responded to a probe, cheapest first."""
         offers = []
         for report in reports:
             record = self.target_table.get_record(report.target_id)
@@ -143,7 +143,7 @@
         ahead = max(0, occupied + 1 - slots)
         finish_ms = work_ms + ahead * service_ms / slots
         goal_ms = call.route.latency_goal_ms
-        risk = record.failure_rate(self.instances, now_s) * FAILURE_COST_GOALS
+        risk = record.failure_rate(self.instance_count, now_s) * FAILURE_COST_GOALS
         if not report.healthy:
             risk += UNHEALTHY_COST_GOALS
         cost_ms = finish_ms + others_ms + risk * goal_ms
@@ -166,7 +166,7 @@
             occupancy = (load.running + load.waiting) / max(1, load.slots)
             occupancy *= load.slowdown
         rank = occupancy + record.own_in_flight / slots
-        rank += record.failure_rate(self.instances, now_s)
+        rank += record.failure_rate(self.instance_count, now_s)
         if not record.healthy:
             rank += 1.0
         if record.target.zone != self.zone:
--- a/packages/baobabring/baobabring/entry/_target_table.py
+++ b/packages/baobabring/baobabring/entry/_target_table.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthReport:
-    """Represent a target's answer to a health probe."""
+    """Represent what a target reports in its response to a health probe."""
 
     target_id: str
     healthy: bool
@@ -46,11 +46,11 @@
         self._calls = DecayingCount(FAILURE_HALF_LIFE_S)
 
     def is_cold(self, now_s: float) -> bool:
-        """Return whether the target is in cold start, with few calls a second."""
+        """Return whether the target is in cold start and may get only few calls."""
         return now_s < self.cold_until_s
 
     def record_report(self, report: HealthReport, now_s: float) -> None:
-        """Update health, cold start and load from an answer to a probe."""
+        """Update health, cold start and load from the response to a probe."""
         self.healthy = report.healthy
         self.unreachable_until_s = 0.0
         self._unreachable_count = 0
@@ -67,7 +67,7 @@
         self.load_at_s = now_s
 
     def mark_unreachable(self, now_s: float) -> None:
-        """Avoid the target for a time that doubles with each failure to answer."""
+        """Avoid the target for a time that doubles with each consecutive failure."""
         pause_s = UNREACHABLE_MIN_PAUSE_S * 2**self._unreachable_count
         self.unreachable_until_s = now_s + min(pause_s, UNREACHABLE_MAX_PAUSE_S)
         self._unreachable_count = min(self._unreachable_count + 1, 8)
@@ -86,12 +86,12 @@
         """Count failed calls of any instance."""
         self._failures.add(float(count), now_s)
 
-    def failure_rate(self, instances: int, now_s: float) -> float:
+    def failure_rate(self, instance_count: int, now_s: float) -> float:
         """Estimate the fraction of the fleet's calls to the target that fail."""
         failures = self._failures.value(now_s)
         if failures < 0.05:
             return 0.0
-        calls = self._calls.value(now_s) * instances + ASSUMED_SUCCESSFUL_CALLS
+        calls = self._calls.value(now_s) * instance_count + ASSUMED_SUCCESSFUL_CALLS
         return min(1.0, failures / max(calls, failures))
 
 
--- a/packages/baobabring/baobabring/entry/_view.py
+++ b/packages/baobabring/baobabring/entry/_view.py
@@ -116,7 +116,7 @@
         return changed
 
     def tick(self, now_s: float) -> bool:
-        """Remove targets that did not register again in time; return whether any."""
+        """Remove targets that did not register again; return whether there were any."""
         due = [t for t, at_s in self._remove_at_s.items() if at_s <= now_s]
         for target_id in due:
             self._drop(target_id, now_s)
--- a/packages/baobabring/baobabring/entry/tests/builders.py
+++ b/packages/baobabring/baobabring/entry/tests/builders.py
@@ -56,7 +56,7 @@
 
 
 def build_call(route=None, arrived_at_s: float = 0.0, wait_s: float = 1.5):
-    """Return a call whose caller waits `wait_s` for the answer."""
+    """Return a call whose caller waits `wait_s` for the response."""
     route = route or build_route()
     return EntryCall(
         call_id="c",
--- a/packages/baobabring/baobabring/entry/tests/test_cold_start_limiter.py
+++ b/packages/baobabring/baobabring/entry/tests/test_cold_start_limiter.py
@@ -13,13 +13,13 @@
     instances, calls_per_s, limit
 ):
     ids = [f"i-{number}" for number in range(instances)]
-    limits = [ColdStartLimiter(name) for name in ids]
-    for cold_start_limiter in limits:
+    limiters = [ColdStartLimiter(name) for name in ids]
+    for cold_start_limiter in limiters:
         cold_start_limiter.set_instances(ids)
     sent_at_s = []
     for step in range(500):
         now_s = step / 100
-        for cold_start_limiter in limits:
+        for cold_start_limiter in limiters:
             if cold_start_limiter.can_send("t-1", calls_per_s, now_s):
                 cold_start_limiter.record_sent("t-1", calls_per_s, now_s)
                 sent_at_s.append(now_s)
@@ -32,11 +32,11 @@
 
 def test_each_cold_target_is_used_by_some_instances_of_a_large_fleet():
     ids = [f"i-{number}" for number in range(128)]
-    limits = [ColdStartLimiter(name) for name in ids]
-    for cold_start_limiter in limits:
+    limiters = [ColdStartLimiter(name) for name in ids]
+    for cold_start_limiter in limiters:
         cold_start_limiter.set_instances(ids)
     for number in range(20):
-        users = sum(limit.can_send(f"t-{number}", 2.9, 0.0) for limit in limits)
+        users = sum(limiter.can_send(f"t-{number}", 2.9, 0.0) for limiter in limiters)
         assert users == 3
 
 
--- a/packages/baobabring/baobabring/entry/tests/test_probe_rate_budget.py
+++ b/packages/baobabring/baobabring/entry/tests/test_probe_rate_budget.py
@@ -14,7 +14,7 @@
     """Return the probes sent by each instance, one list per second."""
     budgets = [ProbeRateBudget(LIMIT_PER_TARGET_S) for _ in calls_per_s]
     for budget in budgets:
-        budget.set_targets(TARGETS)
+        budget.set_target_count(TARGETS)
     totals = []
     for _ in range(seconds):
         for budget, calls in zip(budgets, calls_per_s, strict=True):
@@ -46,7 +46,7 @@
 
 def test_each_call_may_send_one_probe():
     budget = ProbeRateBudget(LIMIT_PER_TARGET_S)
-    budget.set_targets(1)
+    budget.set_target_count(1)
     for _ in range(20):
         budget.set_fleet_rate(1e6)
     assert budget.grant(4) >= 1
--- a/packages/baobabring/baobabring/entry/tests/test_routes.py
+++ b/packages/baobabring/baobabring/entry/tests/test_routes.py
@@ -24,8 +24,8 @@
 @pytest.mark.parametrize("start_fraction", [0.0, 0.4, 0.95])
 def test_calls_follow_the_weights(start_fraction):
     route = build_route(services=(("a", 70), ("b", 20), ("c", 10)))
-    turns = WeightedRoundRobin(route, start_fraction)
-    counts = Counter(turns.next_service() for _ in range(200))
+    round_robin = WeightedRoundRobin(route, start_fraction)
+    counts = Counter(round_robin.next_service() for _ in range(200))
     for service_id, calls in {"a": 140, "b": 40, "c": 20}.items():
         assert abs(counts[service_id] - calls) <= 1
 
@@ -39,5 +39,5 @@
 
 
 def test_service_of_weight_zero_gets_no_calls():
-    turns = WeightedRoundRobin(build_route(services=(("a", 1), ("b", 0))), 0.5)
-    assert {turns.next_service() for _ in range(50)} == {"a"}
+    round_robin = WeightedRoundRobin(build_route(services=(("a", 1), ("b", 0))), 0.5)
+    assert {round_robin.next_service() for _ in range(50)} == {"a"}
--- a/packages/baobabring/baobabring/entry/tests/test_target_ranker.py
+++ b/packages/baobabring/baobabring/entry/tests/test_target_ranker.py
@@ -1,4 +1,4 @@
-"""Test which targets are probed and how their answers are ranked."""
+"""Test which targets are probed and how their responses are ranked."""
 
 from random import Random
 
@@ -42,9 +42,9 @@
     return build_ranker([build_target(f"t-{number}") for number in range(1, 7)])
 
 
-def probed_ids(ranker, exclude=(), now_s=0.0, count=None):
+def probed_ids(ranker, excluded_targets=(), now_s=0.0, count=None):
     """Return the ids of the targets that would be probed."""
-    records = ranker.targets_to_probe(SERVICE, exclude, now_s, count)
+    records = ranker.targets_to_probe(SERVICE, excluded_targets, now_s, count)
     return [record.target.target_id for record in records]
 
 
@@ -57,7 +57,7 @@
     assert probed_ids(build_ranker(targets, ["south"])) == ["t-1"]
 
 
-def test_answer_of_removed_target_yields_no_offer(ranker):
+def test_response_of_removed_target_yields_no_offer(ranker):
     ranker.target_table.set_targets([build_target("t-2")], (), 0.1)
     reports = [build_report("t-1"), build_report("t-2")]
     offers = ranker.offers(build_call(), reports, 0.1)
--- a/packages/baobabring/baobabring/peers/_frames.py
+++ b/packages/baobabring/baobabring/peers/_frames.py
@@ -20,7 +20,7 @@
 PROTOCOL_VERSION = 2
 # Bit in the second byte of a frame, set if the message is compressed.
 COMPRESSED_FLAG = 0x80
-# Shorter messages hardly get smaller.
+# Compression hardly makes shorter messages smaller.
 MIN_COMPRESSED_MESSAGE_BYTES = 400
 COMPRESSION_LEVEL = 3
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
--- a/packages/baobabring/baobabring/platform/store.py
+++ b/packages/baobabring/baobabring/platform/store.py
@@ -86,7 +86,7 @@
         self.pool = pool
         self.call_count = 0
 
-    async def newest(self, topic: str) -> Newest | StoreFailed:
+    async def read_newest(self, topic: str) -> Newest | StoreFailed:
         """Return the newest record of each key of a topic."""
         records: list[KeyedRecord] = []
         end = None
@@ -106,7 +106,8 @@
                 records += [_decode_item(item) for item in page.items]
             except (msgspec.MsgspecError, ValueError) as error:
                 return StoreFailed(f"unreadable page of {topic}: {error}")
-            # Pages are no snapshot: the next read starts at the end of the first page.
+            # Records may change between two pages, so the next read starts at the end
+            # offset of the first page.
             end = page.end if end is None else end
             if not page.more or not page.items:
                 return Newest(tuple(records), end)
--- a/packages/baobabring/baobabring/program/entry/_announcements.py
+++ b/packages/baobabring/baobabring/program/entry/_announcements.py
@@ -33,7 +33,7 @@
 
     async def read(self) -> dict[str, str] | StoreFailed:
         """Return the addresses of all announced instances, by id."""
-        newest = await self.store.newest(INSTANCE_TOPIC)
+        newest = await self.store.read_newest(INSTANCE_TOPIC)
         STORE_CALLS.labels(type(newest).__name__).inc()
         if not isinstance(newest, Newest):
             return newest
--- a/packages/baobabring/baobabring/program/entry/_app.py
+++ b/packages/baobabring/baobabring/program/entry/_app.py
@@ -29,31 +29,33 @@
     CallProblem.BAD_REQUEST: HTTPStatus.BAD_REQUEST,
     CallProblem.TOO_LARGE: HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
 }
+# Used if the retry time has passed when the response is written.
 MIN_RETRY_AFTER_S = 0.01
 
 
 class EntrySink:
     """Serve the requests of callers on all paths."""
 
-    def __init__(self, calls: CallRunner) -> None:
-        self.calls = calls
+    def __init__(self, call_runner: CallRunner) -> None:
+        self.call_runner = call_runner
 
     async def __call__(
         self, request: falcon.asgi.Request, response: falcon.asgi.Response
     ) -> None:
         """Serve one request."""
-        arrived_at_s = self.calls.clock.now_s()
+        arrived_at_s = self.call_runner.clock.now_s()
         body: bytes | RejectedRequest | None = b""
         if has_body(request):
-            body = await read_body(request, self.calls.body_limit_bytes)
+            body = await read_body(request, self.call_runner.body_limit_bytes)
         if body is None:
+            # The caller disconnected while it sent the body.
             return
         if isinstance(body, RejectedRequest):
             write_outcome(response, Rejected(CallProblem.TOO_LARGE), arrived_at_s)
             return
         outcome = await self._serve(request, body, arrived_at_s)
-        write_outcome(response, outcome, self.calls.clock.now_s())
-        if self.calls.shutting_down:
+        write_outcome(response, outcome, self.call_runner.clock.now_s())
+        if self.call_runner.shutting_down:
             response.set_header("Connection", "close")
 
     async def _serve(
@@ -67,13 +69,13 @@
             body=body,
             arrived_at_s=arrived_at_s,
         )
-        call = self.calls.start(caller_request)
+        call = self.call_runner.start(caller_request)
         if call.done():
             return call.result()
         connection = request.scope[CallerConnectionMiddleware.SCOPE_KEY]
         disconnect = asyncio.ensure_future(connection.wait_for_disconnect())
         disconnect.add_done_callback(
-            lambda task: task.cancelled() or self.calls.on_caller_disconnect(call)
+            lambda task: task.cancelled() or self.call_runner.on_caller_disconnect(call)
         )
         try:
             return await call
@@ -90,10 +92,10 @@
 ) -> None:
     """Set status, headers and body of a response by the outcome of its call."""
     if isinstance(outcome, Delivered):
-        response.status = outcome.answer.status
-        for name, value in outcome.answer.headers:
+        response.status = outcome.response.status
+        for name, value in outcome.response.headers:
             response.append_header(name.decode("latin-1"), value.decode("latin-1"))
-        response.data = outcome.answer.body
+        response.data = outcome.response.body
         return
     if isinstance(outcome, NotRun):
         response.status = HTTPStatus.SERVICE_UNAVAILABLE
@@ -112,12 +114,12 @@
 class ReadyResource:
     """Serve the readiness check of the platform's load balancer."""
 
-    def __init__(self, calls: CallRunner) -> None:
-        self.calls = calls
+    def __init__(self, call_runner: CallRunner) -> None:
+        self.call_runner = call_runner
 
     async def on_get(self, request, response) -> None:
         """Respond with 200 if the instance is ready, else with 503."""
-        ready = self.calls.ready
+        ready = self.call_runner.ready
         response.status = HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE
 
 
@@ -130,17 +132,17 @@
         response.data = prometheus_client.generate_latest()
 
 
-def create_caller_app(calls: CallRunner):
+def create_caller_app(call_runner: CallRunner):
     """Return the application for callers."""
     app = falcon.asgi.App()
-    app.add_sink(EntrySink(calls), "/")
+    app.add_sink(EntrySink(call_runner), "/")
     return CallerConnectionMiddleware(app)
 
 
-def create_ready_app(calls: CallRunner):
+def create_ready_app(call_runner: CallRunner):
     """Return the application for the platform's load balancer."""
     app = falcon.asgi.App()
-    app.add_route("/ready", ReadyResource(calls))
+    app.add_route("/ready", ReadyResource(call_runner))
     return app
 
 
--- a/packages/baobabring/baobabring/program/entry/_call_runner.py
+++ b/packages/baobabring/baobabring/program/entry/_call_runner.py
@@ -31,7 +31,7 @@
 MS_PER_S = 1_000
 # The response must reach the caller before its deadline or the route's timeout.
 RESPONSE_MARGIN_S = 0.01
-NO_CONFIGURATION_RETRY_S = 0.3
+DEFAULT_RETRY_DELAY_S = 0.3
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
         self.shutting_down = False
         self.in_progress = 0
         self._configuration = EntryConfiguration()
-        self._table = RouteTable(self._configuration)
+        self._route_table = RouteTable(self._configuration)
         self._round_robins: dict[str, WeightedRoundRobin] = {}
         self._progress: dict[asyncio.Task, CallProgress] = {}
 
@@ -72,7 +72,7 @@
     def set_configuration(self, configuration: EntryConfiguration) -> None:
         """Route new calls by a configuration."""
         self._configuration = configuration
-        self._table = RouteTable(configuration)
+        self._route_table = RouteTable(configuration)
         self._round_robins = {
             route.route_id: self._reuse_round_robin(route)
             for route in configuration.routes
@@ -115,15 +115,15 @@
     def _internal_outcome(self, progress: CallProgress) -> EntryOutcome:
         if progress.sent:
             return Undetermined(CallProblem.INTERNAL)
-        retry_at_s = self.clock.now_s() + NO_CONFIGURATION_RETRY_S
+        retry_at_s = self.clock.now_s() + DEFAULT_RETRY_DELAY_S
         return NotRun(CallProblem.INTERNAL, retry_at_s)
 
     def _build_call(self, request: CallerRequest) -> EntryCall | EntryOutcome:
         if not self.shared_view.is_complete:
-            retry_at_s = request.arrived_at_s + NO_CONFIGURATION_RETRY_S
+            retry_at_s = request.arrived_at_s + DEFAULT_RETRY_DELAY_S
             return NotRun(CallProblem.NO_CONFIGURATION, retry_at_s)
         path = request.path.partition("?")[0]
-        route = self._table.match(request.host, path)
+        route = self._route_table.match(request.host, path)
         if route is None:
             return Rejected(CallProblem.NO_ROUTE)
         headers = parse_caller_headers(request.headers)
@@ -179,10 +179,10 @@
             "call ended",
             call=call.call_id,
             outcome=name,
-            status=outcome.answer.status if isinstance(outcome, Delivered) else None,
+            status=outcome.response.status if isinstance(outcome, Delivered) else None,
             route=call.route.route_id,
             service=call.service_id,
-            tried=progress.tried,
+            tried=progress.tried_targets,
             took_ms=round(took_s * MS_PER_S, 1),
             probes=progress.probes,
             waited=progress.waited,
--- a/packages/baobabring/baobabring/program/entry/_caller_protocol.py
+++ b/packages/baobabring/baobabring/program/entry/_caller_protocol.py
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class HeaderLimits:
-    """Represent limits of a request's headers; open connections follow changes."""
+    """Represent limits of request headers; changes also apply to open connections."""
 
     limit_bytes: int = 16_384
     timeout_s: float = 3.0
@@ -68,7 +68,7 @@
         super().on_header(name, value)
 
     def on_headers_complete(self) -> None:
-        """Stop the header timeout when all headers are there."""
+        """Stop the header timeout when all headers have been received."""
         self._stop_timer()
         super().on_headers_complete()
 
--- a/packages/baobabring/baobabring/program/entry/_forwarder.py
+++ b/packages/baobabring/baobabring/program/entry/_forwarder.py
@@ -50,7 +50,7 @@
 
 
 class Forwarder:
-    """Forward calls to targets until each has its one outcome."""
+    """Forward each call to targets until it has an outcome."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         admission: Admission,
         retry_budget: RetryBudget,
         failure_counts: FailureCounts,
-        budget: ProbeRateBudget,
+        probe_budget: ProbeRateBudget,
         pool: ConnectionPool,
         clock: Clock,
     ) -> None:
@@ -68,16 +68,16 @@
         self.failure_counts = failure_counts
         self.pool = pool
         self.clock = clock
-        self.chooser = TargetChooser(ranker, admission, budget, pool, clock)
+        self.chooser = TargetChooser(ranker, admission, probe_budget, pool, clock)
 
     async def forward(self, progress: CallProgress) -> EntryOutcome:
-        """Attempt a call at targets until it has an outcome, and return that."""
+        """Attempt a call at targets until it has an outcome, and return the outcome."""
         call = progress.call
         while True:
             assignment = await self.chooser.choose(progress)
             if isinstance(assignment, RefuseCall):
                 return self._refused_outcome(progress, assignment)
-            if not progress.tried:
+            if not progress.tried_targets:
                 self.retry_budget.record_first_attempt(
                     call.service_id, self.clock.now_s()
                 )
@@ -93,9 +93,9 @@
     ) -> AttemptEnd:
         """Attempt a call, and also at a second target if the first one is late."""
         call = progress.call
-        tries = len(progress.tried) + 1
+        attempts_made = len(progress.tried_targets) + 1
         now_s = self.clock.now_s()
-        at_s = hedge_at_s(call, now_s, assignment.offer.finish_ms, tries)
+        at_s = hedge_at_s(call, now_s, assignment.offer.finish_ms, attempts_made)
         if at_s is None:
             return await self._attempt(progress, assignment)
         attempts = [asyncio.ensure_future(self._attempt(progress, assignment))]
@@ -126,11 +126,11 @@
                 continue
             if self._try_spend_retry(progress):
                 return second
-            self.chooser.prober.release(second.probe)
+            self.chooser.prober.release(second.probe_response)
         return None
 
     async def _first_success(self, attempts: list[asyncio.Task]) -> AttemptEnd:
-        """Return the first end that is no failure, else how the last attempt ended."""
+        """Return the first end that is no failure, else the end of the last attempt."""
         pending = set(attempts)
         while True:
             done, pending = await asyncio.wait(
@@ -147,11 +147,11 @@
         self, progress: CallProgress, assignment: Assignment
     ) -> AttemptEnd:
         call, target = progress.call, assignment.record.target
-        connection = assignment.probe.connection
+        connection = assignment.probe_response.connection
         now_s = self.clock.now_s()
         time_left_ms = (call.deadline_s - now_s) * MS_PER_S
         request = build_target_request(call, target, time_left_ms)
-        progress.tried.append(target.target_id)
+        progress.tried_targets.append(target.target_id)
         progress.sent = True
         self.ranker.record_call_sent(target.target_id, now_s)
         end: AttemptEnd = AttemptLost(CallProblem.CALLER_LEFT)
@@ -184,7 +184,7 @@
         call_id = call.call_id.encode("latin-1")
         try:
             async with asyncio.timeout(call.deadline_s - sent_at_s):
-                response = await assignment.probe.connection.exchange(
+                response = await assignment.probe_response.connection.exchange(
                     request, CALL_ID_HEADER, call_id
                 )
         except TimeoutError:
@@ -228,11 +228,11 @@
         """Return the outcome after an attempt's end, None to try again."""
         call = progress.call
         if isinstance(end, AttemptAnswered):
-            progress.last_response = end.answer
+            progress.last_response = end.response
             repeatable = call.route.idempotent and _is_failure(end)
             if repeatable and self._try_spend_retry(progress):
                 return None
-            return Delivered(end.answer)
+            return Delivered(end.response)
         if isinstance(end, AttemptLost):
             progress.last_problem = end.problem
             if call.route.idempotent and self._try_spend_retry(progress):
@@ -252,7 +252,7 @@
         """Return whether another attempt is allowed, and spend a retry if so."""
         call = progress.call
         now_s = self.clock.now_s()
-        if len(progress.tried) >= call.route.attempt_limit:
+        if len(progress.tried_targets) >= call.route.attempt_limit:
             return False
         if now_s + MIN_TIME_LEFT_S >= call.deadline_s:
             return False
@@ -275,4 +275,4 @@
 
 
 def _is_failure(end: AttemptAnswered) -> bool:
-    return end.answer.status in FAILURE_STATUSES
+    return end.response.status in FAILURE_STATUSES
--- a/packages/baobabring/baobabring/program/entry/_instance.py
+++ b/packages/baobabring/baobabring/program/entry/_instance.py
@@ -47,7 +47,7 @@
 
 METRICS_PORT = 9_100
 HOUSEKEEPING_INTERVAL_S = 1.0
-# The platform's load balancer sends connections until two readiness checks failed.
+# The platform's load balancer sends connections until two readiness checks have failed.
 BALANCER_LAG_S = 3.0
 SHUTDOWN_MARGIN_S = 0.8
 SHUTDOWN_POLL_S = 0.05
@@ -55,7 +55,7 @@
 MS_PER_S = 1_000
 # A full burst and the refill during one window together make up the retry slack.
 RETRY_BURST_SHARE = 0.6
-RETRY_FLOOR_SHARE = 0.4
+RETRY_REFILL_SHARE = 0.4
 RETRY_PLANNED_SHARE = 0.85
 
 
@@ -73,26 +73,26 @@
         self.store = StoreClient(settings.store_address, ConnectionPool())
         self.target_table = TargetTable(settings.instance_id, settings.zone)
         self.failure_counts = FailureCounts(self.target_table, self.clock)
-        self.budget = ProbeRateBudget(settings.limits.probes_per_target_s)
+        self.probe_budget = ProbeRateBudget(settings.limits.probes_per_target_s)
         announcements = Announcements(
             settings.instance_id, settings.peer_address, self.store, self.clock
         )
-        self.peers = PeerTask(
+        self.peer_task = PeerTask(
             settings.instance_id,
             settings.peer_address,
             announcements,
             self.link,
-            self.budget,
+            self.probe_budget,
             self.failure_counts,
             self.clock,
         )
-        self.peers.is_reader = lambda: self.schedule.is_reader
+        self.peer_task.is_reader = lambda: self.schedule.is_reader
         self.view_task = ViewTask(
             self.shared_view,
             self.schedule,
             self.store,
             self.link,
-            self.peers,
+            self.peer_task,
             self.clock,
         )
         self.cold_start_limiter = ColdStartLimiter(settings.instance_id)
@@ -111,16 +111,16 @@
             Admission(rng),
             self.retry_budget,
             self.failure_counts,
-            self.budget,
+            self.probe_budget,
             self.pool,
             self.clock,
         )
-        self.calls = CallRunner(self.shared_view, forwarder, self.clock, rng)
+        self.call_runner = CallRunner(self.shared_view, forwarder, self.clock, rng)
         self.caller_server = HttpServer(
-            create_caller_app(self.calls), settings.caller_address
+            create_caller_app(self.call_runner), settings.caller_address
         )
         self.ready_server = HttpServer(
-            create_ready_app(self.calls), settings.ready_address
+            create_ready_app(self.call_runner), settings.ready_address
         )
         self.metrics_server = HttpServer(
             create_metrics_app(), f"{settings.metrics_host}:{METRICS_PORT}"
@@ -135,7 +135,7 @@
         loop.add_signal_handler(signal.SIGHUP, self.settings_task.reload, "signal")
         self.link.start()
         self.view_task.add_listener(self._on_view_changed)
-        self.peers.add_listener(self._on_instances_changed)
+        self.peer_task.add_listener(self._on_instances_changed)
         for server in (self.caller_server, self.ready_server, self.metrics_server):
             await server.start()
         LOG.info(
@@ -158,7 +158,7 @@
     async def _run_tasks(self) -> None:
         async with asyncio.TaskGroup() as group:
             group.create_task(self.view_task.run())
-            group.create_task(self.peers.run())
+            group.create_task(self.peer_task.run())
             group.create_task(self.settings_task.run())
             group.create_task(self._run_housekeeping())
 
@@ -174,14 +174,14 @@
         now_s = self.clock.now_s()
         if self.ranker.configuration is not view.configuration:
             self.ranker.configuration = view.configuration
-            self.calls.set_configuration(view.configuration)
+            self.call_runner.set_configuration(view.configuration)
             self._apply_caller_limits(view.configuration.limits)
         removed = self.target_table.set_targets(
             view.targets.values(), view.zones_out, now_s
         )
         self.cold_start_limiter.remove_targets(removed)
         TARGETS.set(len(view.targets))
-        self.budget.set_targets(len(view.targets))
+        self.probe_budget.set_target_count(len(view.targets))
         self._update_readiness()
 
     def _apply_caller_limits(self, limits: CallerLimits) -> None:
@@ -191,18 +191,18 @@
         self.caller_server.header_limits.timeout_s = limits.header_timeout_ms / MS_PER_S
 
     def _on_instances_changed(self) -> None:
-        instances = self.peers.live_addresses()
-        self.ranker.instances = len(instances)
+        instances = self.peer_task.live_addresses()
+        self.ranker.instance_count = len(instances)
         self.schedule.set_instances(instances)
         # Peers that are only unreachable still use their shares of the fleet's limits.
-        known = self.peers.known_ids()
+        known = self.peer_task.known_ids()
         self.cold_start_limiter.set_instances(known)
         self.retry_budget.settings = retry_settings(self.settings.limits, len(known))
 
     def _update_readiness(self) -> None:
         ready = self.shared_view.is_complete and not self._shutdown_requested.is_set()
-        if ready != self.calls.ready:
-            self.calls.ready = ready
+        if ready != self.call_runner.ready:
+            self.call_runner.ready = ready
             LOG.info(
                 "readiness changed",
                 ready=ready,
@@ -212,33 +212,36 @@
     def _apply_settings(self, settings: EntrySettings) -> None:
         """Apply changed limits; the instance id, zone and addresses stay."""
         self.settings = replace(self.settings, limits=settings.limits)
-        self.budget.probes_per_target_s = settings.limits.probes_per_target_s
+        self.probe_budget.probes_per_target_s = settings.limits.probes_per_target_s
         self._on_instances_changed()
 
     async def _shut_down(self) -> None:
         started_at_s = self.clock.now_s()
         limit_s = self.settings.limits.shutdown_ms / MS_PER_S - SHUTDOWN_MARGIN_S
-        self.calls.shutting_down = True
+        self.call_runner.shutting_down = True
         self._update_readiness()
-        LOG.info("shutting down", calls=self.calls.in_progress)
-        self.peers.announce_leaving()
+        LOG.info("shutting down", calls=self.call_runner.in_progress)
+        self.peer_task.announce_leaving()
         await asyncio.sleep(min(BALANCER_LAG_S, limit_s / 2))
         self.caller_server.close_listener()
         while self.clock.now_s() < started_at_s + limit_s:
-            if not self.calls.in_progress and not self.caller_server.connections:
+            if (
+                not self.call_runner.in_progress
+                and not self.caller_server.connection_count
+            ):
                 break
             self.caller_server.close_idle()
             await asyncio.sleep(SHUTDOWN_POLL_S)
-        LOG.info("drain ended", calls=self.calls.in_progress)
+        LOG.info("drain ended", calls=self.call_runner.in_progress)
 
 
-def retry_settings(limits: FleetLimits, instances: int) -> RetrySettings:
+def retry_settings(limits: FleetLimits, instance_count: int) -> RetrySettings:
     """Return one instance's share of the retries that the fleet may send."""
-    slack = limits.retry_slack * RETRY_PLANNED_SHARE / instances
+    slack = limits.retry_slack * RETRY_PLANNED_SHARE / instance_count
     return RetrySettings(
         retry_share=limits.retry_share * RETRY_PLANNED_SHARE,
         min_retries_per_s=slack
-        * RETRY_FLOOR_SHARE
+        * RETRY_REFILL_SHARE
         / (limits.retry_window_ms / MS_PER_S),
         burst=max(1.0, slack * RETRY_BURST_SHARE),
     )
--- a/packages/baobabring/baobabring/program/entry/_line_log.py
+++ b/packages/baobabring/baobabring/program/entry/_line_log.py
@@ -7,7 +7,7 @@
 import msgspec
 
 # Log lines cost processor time, and a slow log reader must not delay calls.
-LINES_PER_S = 400.0
+MAX_LINES_PER_S = 400.0
 LINE_BURST = 2_000.0
 STDOUT_DESCRIPTOR = 1
 
@@ -44,8 +44,8 @@
 
     def _take_token(self) -> bool:
         now_s = monotonic()
-        earned = (now_s - self._refilled_at_s) * LINES_PER_S
-        self._tokens = min(self._tokens + earned, LINE_BURST)
+        refill = (now_s - self._refilled_at_s) * MAX_LINES_PER_S
+        self._tokens = min(self._tokens + refill, LINE_BURST)
         self._refilled_at_s = now_s
         if self._tokens < 1:
             return False
@@ -60,7 +60,7 @@
         except BlockingIOError:
             written = 0
         except OSError:
-            # Nobody reads the output any more, which must not end the process.
+            # The output is no longer read, which must not end the process.
             self.dropped += 1
             self._unwritten = b""
             return
--- a/packages/baobabring/baobabring/program/entry/_peer_task.py
+++ b/packages/baobabring/baobabring/program/entry/_peer_task.py
@@ -1,7 +1,7 @@
 """Discovery of the other instances, by announcements and by messages.
 
-The reader is the instance that reads the store for the fleet. It receives signs of
-life from all others and sends them the list of instances.
+The reader is the instance that reads the store for the fleet. It receives alive
+messages from all others and sends them the list of instances.
 """
 
 import asyncio
@@ -32,9 +32,10 @@
 MAX_CONTACTS = 3
 # The reader removes instances that were silent for several intervals.
 PEER_TIMEOUT_S = 6.0
-# A joining instance contacts several peers, and each forwards that to the reader.
+# A joining instance contacts several peers, and each forwards the message to the
+# reader, which sends the view only once within this time.
 VIEW_RESEND_INTERVAL_S = 0.3
-# A silent peer may still run, so it counts in the shared limits for this long.
+# A silent peer may still be running, so it counts in the shared limits for this long.
 SILENT_PEER_RETENTION_S = 60.0
 RETRY_INTERVAL_S = 0.5
 MAX_RETRY_INTERVAL_S = 4.0
@@ -59,7 +60,7 @@
         address: str,
         announcements: Announcements,
         link: PeerLink,
-        budget: ProbeRateBudget,
+        probe_budget: ProbeRateBudget,
         failure_counts: FailureCounts,
         clock: Clock,
     ) -> None:
@@ -67,12 +68,12 @@
         self.address = address
         self.announcements = announcements
         self.link = link
-        self.budget = budget
+        self.probe_budget = probe_budget
         self.failure_counts = failure_counts
         self.clock = clock
         self.reader_address: str | None = None
         self.is_reader: Callable[[], bool] = lambda: False
-        self.reader_is_silent: Callable[[], bool] = lambda: False
+        self.is_reader_silent: Callable[[], bool] = lambda: False
         self.send_view: Callable[[str], None] = lambda address: None
         self.joined = asyncio.Event()
         self._peers: dict[str, _Peer] = {}
@@ -105,10 +106,10 @@
 
     def update_fleet_rate(self, probes_per_s: float) -> None:
         """Scale this instance's probes by the rate of the whole fleet."""
-        self.budget.set_fleet_rate(probes_per_s)
+        self.probe_budget.set_fleet_rate(probes_per_s)
 
     def record_peer(self, peer_id: str, address: str) -> None:
-        """Record a sign of life of a peer."""
+        """Record that a peer is running."""
         if peer_id == self.instance_id:
             return
         now_s = self.clock.now_s()
@@ -116,16 +117,16 @@
         if known is None or known.address != address:
             self._peers[peer_id] = _Peer(address, now_s)
             LOG.info("instance joined", instance=peer_id, address=address)
-            self._changed()
+            self._on_instances_changed()
             return
         known.last_seen_at_s = now_s
 
     async def run(self) -> None:
-        """Join the fleet, then send signs of life to the reader until cancelled."""
+        """Join the fleet, then send alive messages to the reader until cancelled."""
         await self._join()
         while True:
             await asyncio.sleep(ALIVE_INTERVAL_S)
-            self._probes_per_s = self.budget.pop_sent_count() / ALIVE_INTERVAL_S
+            self._probes_per_s = self.probe_budget.pop_sent_count() / ALIVE_INTERVAL_S
             if self.is_reader():
                 self._remove_silent()
                 continue
@@ -203,7 +204,7 @@
             if now_s - self._peers[peer_id].last_seen_at_s > PEER_TIMEOUT_S:
                 self._remove_peer(peer_id, now_s)
         if self.live_addresses() != before:
-            self._changed()
+            self._on_instances_changed()
 
     def _send_to_reader(self, message: InstanceAlive) -> None:
         """Send to the reader, or to its likeliest candidates if it is unknown."""
@@ -238,7 +239,7 @@
             return announced
         for peer_id, address in announced.items():
             known = self._peers.get(peer_id)
-            # An unchanged announcement is no sign of life of a silent peer.
+            # An unchanged announcement does not show that a silent peer is running.
             if known is None or known.address != address:
                 self.record_peer(peer_id, address)
         return announced
@@ -255,7 +256,7 @@
         if peer is not None:
             peer.probes_per_s = message.probes_per_s
         self.failure_counts.add_counts(message.failures)
-        should_send_view = self.is_reader() or self.reader_is_silent()
+        should_send_view = self.is_reader() or self.is_reader_silent()
         if message.joining and peer is not None and should_send_view:
             self._send_view_once(peer)
 
@@ -270,7 +271,7 @@
     def _on_leaving(self, message: InstanceAlive) -> None:
         if self._peers.pop(message.sender, None) is not None:
             LOG.info("instance left", instance=message.sender)
-            self._changed()
+            self._on_instances_changed()
 
     def _remove_silent(self) -> None:
         now_s = self.clock.now_s()
@@ -283,13 +284,13 @@
             self._remove_peer(peer_id, now_s)
             LOG.info("instance timed out", instance=peer_id, for_s=PEER_TIMEOUT_S)
         if silent:
-            self._changed()
+            self._on_instances_changed()
 
     def _remove_peer(self, peer_id: str, now_s: float) -> None:
         del self._peers[peer_id]
         self._counted_until_s[peer_id] = now_s + SILENT_PEER_RETENTION_S
 
-    def _changed(self) -> None:
+    def _on_instances_changed(self) -> None:
         addresses = {peer.address for peer in self._peers.values()}
         self.link.set_peers(frozenset(addresses))
         for listener in self._listeners:
--- a/packages/baobabring/baobabring/program/entry/_prober.py
+++ b/packages/baobabring/baobabring/program/entry/_prober.py
@@ -1,4 +1,4 @@
-"""Probes of targets for their load."""
+"""Health probes of targets, whose responses also report the load."""
 
 import asyncio
 from collections.abc import Collection
@@ -20,8 +20,9 @@
 from baobabring.program.entry._metrics import PROBES
 from baobabring.utils import Clock
 
-# Targets in the same availability zone respond within 1 ms or the time that a probe
-# costs them. Slower ones are awaited only while no target has responded.
+# Targets in the same availability zone respond within 1 ms, or within the time that
+# they need to process a probe. Slower ones are awaited only while no target has
+# responded.
 FIRST_WAIT_S = 0.012
 MAX_WAIT_S = 0.06
 PROBE_TIMEOUT_S = 0.15
@@ -37,7 +38,7 @@
 
 
 class Prober:
-    """Probe several targets at once for their load."""
+    """Probe the health and load of several targets at once."""
 
     def __init__(self, pool: ConnectionPool, clock: Clock) -> None:
         self.pool = pool
--- a/packages/baobabring/baobabring/program/entry/_progress.py
+++ b/packages/baobabring/baobabring/program/entry/_progress.py
@@ -10,7 +10,7 @@
     """Represent the progress of a call, for decisions about it and its log line."""
 
     call: EntryCall
-    tried: list[str] = field(default_factory=list)
+    tried_targets: list[str] = field(default_factory=list)
     probes: int = 0
     waited: bool = False
     may_have_run: bool = False
--- a/packages/baobabring/baobabring/program/entry/_server.py
+++ b/packages/baobabring/baobabring/program/entry/_server.py
@@ -63,6 +63,6 @@
             connection.shutdown()
 
     @property
-    def connections(self) -> int:
+    def connection_count(self) -> int:
         """Return the number of open connections."""
         return len(self.state.connections)
--- a/packages/baobabring/baobabring/program/entry/_settings_task.py
+++ b/packages/baobabring/baobabring/program/entry/_settings_task.py
@@ -26,7 +26,7 @@
     path : Path
         The settings file.
     settings : EntrySettings
-        The settings in force.
+        The current settings.
     apply : callable
         Called with the new settings after a change.
     """
--- a/packages/baobabring/baobabring/program/entry/_store_reader.py
+++ b/packages/baobabring/baobabring/program/entry/_store_reader.py
@@ -31,7 +31,7 @@
 
 
 class StoreReader:
-    """Read records from the view's offsets on, or the newest ones if those are gone.
+    """Read records from the view's offsets on, or the newest if those were deleted.
 
     Parameters
     ----------
@@ -111,7 +111,7 @@
         return outcome
 
     async def _read_newest(self, topic: str) -> Newest | StoreFailed:
-        newest = await self.store.newest(topic)
+        newest = await self.store.read_newest(topic)
         self._count_call(newest)
         return newest
 
--- a/packages/baobabring/baobabring/program/entry/_target_chooser.py
+++ b/packages/baobabring/baobabring/program/entry/_target_chooser.py
@@ -16,7 +16,7 @@
 from baobabring.program.entry._wait_queue import Assignment, WaitQueue, assign
 from baobabring.utils import Clock
 
-PROBE_ROUNDS = 3
+MAX_PROBE_ROUNDS = 3
 # A call with less time left is refused: it isn't worth a target's work.
 MIN_TIME_LEFT_S = 0.005
 
@@ -28,16 +28,16 @@
         self,
         ranker: TargetRanker,
         admission: Admission,
-        budget: ProbeRateBudget,
+        probe_budget: ProbeRateBudget,
         pool: ConnectionPool,
         clock: Clock,
     ) -> None:
         self.ranker = ranker
         self.admission = admission
-        self.budget = budget
+        self.probe_budget = probe_budget
         self.clock = clock
         self.prober = Prober(pool, clock)
-        self.wait_queue = WaitQueue(ranker, admission, self.prober, budget, clock)
+        self.wait_queue = WaitQueue(ranker, admission, self.prober, probe_budget, clock)
 
     async def choose(self, progress: CallProgress) -> Assignment | RefuseCall:
         """Return the assignment of a call to a target, or the decision to refuse it."""
@@ -45,28 +45,32 @@
         now_s = self.clock.now_s()
         if now_s + MIN_TIME_LEFT_S >= call.deadline_s:
             return RefuseCall(now_s, CallProblem.TIMEOUT)
-        excluded_targets = frozenset(progress.tried)
+        excluded_targets = frozenset(progress.tried_targets)
         if not self.wait_queue.has_calls_ahead_of(call):
-            decision = await self._probe_once(progress, excluded_targets)
+            decision = await self._probe_and_decide(progress, excluded_targets)
             if not isinstance(decision, ProbeAgain):
                 return decision
         return await self.wait_queue.wait(progress, excluded_targets)
 
     async def choose_hedge(self, progress: CallProgress) -> Assignment | None:
         """Return an assignment to a second target that has a free slot, else None."""
-        if self.budget.is_scarce or self.wait_queue.has_calls_ahead_of(progress.call):
+        if self.probe_budget.is_scarce or self.wait_queue.has_calls_ahead_of(
+            progress.call
+        ):
             return None
         offers = progress.offers
-        decision = await self._probe_once(progress, frozenset(progress.tried))
+        decision = await self._probe_and_decide(
+            progress, frozenset(progress.tried_targets)
+        )
         if isinstance(decision, Assignment) and decision.offer.has_free_slot:
             return decision
         # The call's log line shows the offers by which the call was sent.
         progress.offers = offers
         if isinstance(decision, Assignment):
-            self.prober.release(decision.probe)
+            self.prober.release(decision.probe_response)
         return None
 
-    async def _probe_once(
+    async def _probe_and_decide(
         self, progress: CallProgress, excluded_targets: frozenset[str]
     ) -> Assignment | RefuseCall | ProbeAgain:
         """Probe a few targets, and a few others if the first ones are full."""
@@ -87,10 +91,10 @@
     ) -> Assignment | RefuseCall | ProbeAgain:
         call = progress.call
         seen = set(excluded_targets)
-        for round_number in range(1, PROBE_ROUNDS + 1):
+        for round_number in range(1, MAX_PROBE_ROUNDS + 1):
             now_s = self.clock.now_s()
             wanted = self.ranker.settings.probed_targets
-            count = self.budget.grant(wanted)
+            count = self.probe_budget.grant(wanted)
             records = self.ranker.targets_to_probe(call.service_id, seen, now_s, count)
             await self._probe(progress, records, responses)
             seen.update(record.target.target_id for record in records)
@@ -98,8 +102,8 @@
             reports = [response.report for response in responses.values()]
             progress.offers = self.ranker.offers(call, reports, now_s)
             can_probe_others = (
-                round_number < PROBE_ROUNDS
-                and not self.budget.is_scarce
+                round_number < MAX_PROBE_ROUNDS
+                and not self.probe_budget.is_scarce
                 and bool(self.ranker.targets_to_probe(call.service_id, seen, now_s))
             )
             decision = self.admission.decide(
--- a/packages/baobabring/baobabring/program/entry/_view_task.py
+++ b/packages/baobabring/baobabring/program/entry/_view_task.py
@@ -38,10 +38,11 @@
 INSTANCE_REFRESH_INTERVAL_S = 45.0
 # The sender of a heartbeat whose view is younger than this has just read the store.
 FRESH_HEARTBEAT_MS = 200.0
-# A list of instances that differs from the reader's is good enough for this long.
+# Minimum time between requests for the reader's list of instances. A list that differs
+# from it is good enough for this long.
 LIST_REQUEST_INTERVAL_S = 2.0
-# If the reader is silent for this long, any instance that knows the view sends it to
-# joining ones.
+# A reader that is silent for this long is considered failed: other instances try to
+# take over, and any instance that knows the view sends it to joining ones.
 READER_TIMEOUT_S = 1.0
 READ_CHECK_INTERVAL_S = 0.2
 
@@ -57,17 +58,19 @@
         schedule: ReadSchedule,
         store: StoreClient,
         link: PeerLink,
-        peers: PeerTask,
+        peer_task: PeerTask,
         clock: Clock,
     ) -> None:
         self.shared_view = shared_view
         self.schedule = schedule
         self.store = store
         self.link = link
-        self.peers = peers
+        self.peer_task = peer_task
         self.clock = clock
         self._listeners: list[ViewListener] = []
-        self.reader = StoreReader(shared_view, store, self._changed, clock)
+        self.store_reader = StoreReader(
+            shared_view, store, self._on_view_changed, clock
+        )
         self._store_unreachable = False
         self._list_request_due_at_s = 0.0
         self._wake_operator_reads = asyncio.Event()
@@ -76,8 +79,8 @@
         link.subscribe(ViewState, self._on_state)
         link.subscribe(ViewDelta, self._on_delta)
         link.subscribe(ViewRequest, self._on_request)
-        peers.send_view = self._send_view
-        peers.reader_is_silent = self._reader_is_silent
+        peer_task.send_view = self._send_view
+        peer_task.is_reader_silent = self._is_reader_silent
 
     def add_listener(self, listener: ViewListener) -> None:
         """Call `listener` after each change of the view."""
@@ -94,13 +97,13 @@
 
     async def _run_target_reads(self) -> None:
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self.peers.joined.wait(), JOIN_WAIT_S)
-        if self.peers.announcements.newly_announced:
+            await asyncio.wait_for(self.peer_task.joined.wait(), JOIN_WAIT_S)
+        if self.peer_task.announcements.newly_announced:
             self.schedule.delay_first_read(self.clock.now_s())
         while True:
             now_s = self.clock.now_s()
             if self.shared_view.tick(now_s):
-                self._changed("registrations expired")
+                self._on_view_changed("registrations expired")
             due_s = self.schedule.next_read_at_s()
             if due_s > now_s:
                 await asyncio.sleep(min(due_s - now_s, READ_CHECK_INTERVAL_S))
@@ -111,10 +114,10 @@
         started_at_s = self.clock.now_s()
         was_reader = self.schedule.is_reader
         failure = None
-        if not self.reader.operators_known:
-            failure = await self.reader.read_operators(0)
+        if not self.store_reader.operators_known:
+            failure = await self.store_reader.read_operators(0)
         if failure is None:
-            failure = await self.reader.read_targets()
+            failure = await self.store_reader.read_targets()
         if failure is not None:
             self._on_read_failed(failure)
             return
@@ -123,7 +126,7 @@
         was_complete = self.shared_view.is_complete
         self.shared_view.confirm(started_at_s)
         if self.shared_view.is_complete and not was_complete:
-            self._changed("first read of the store")
+            self._on_view_changed("first read of the store")
         if not was_reader:
             LOG.info("became store reader", view_age_s=self._view_age_s())
             self._wake_operator_reads.set()
@@ -133,7 +136,7 @@
     async def _run_operator_reads(self) -> None:
         while True:
             can_read = self.schedule.is_reader and not self._store_unreachable
-            if not can_read or not self.reader.operators_known:
+            if not can_read or not self.store_reader.operators_known:
                 self._wake_operator_reads.clear()
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(
@@ -141,7 +144,7 @@
                     )
                 continue
             version = self.shared_view.version
-            failure = await self.reader.read_operators(OPERATOR_READ_WAIT_MS)
+            failure = await self.store_reader.read_operators(OPERATOR_READ_WAIT_MS)
             if failure is not None:
                 LOG.info("reading operator records failed", problem=failure.problem)
                 await asyncio.sleep(OPERATOR_READ_RETRY_S)
@@ -151,7 +154,7 @@
             await asyncio.sleep(OPERATOR_READ_PAUSE_S)
 
     async def _run_instance_refresh(self) -> None:
-        """Discover, as the reader, instances that announced themselves meanwhile.
+        """Discover instances by their announcements while this instance is the reader.
 
         Otherwise two readers that don't know each other would both continue to read.
         """
@@ -163,7 +166,7 @@
                 self._became_reader.clear()
                 await asyncio.sleep(INSTANCE_REFRESH_DELAY_S)
             if self.schedule.is_reader:
-                await self.peers.refresh()
+                await self.peer_task.refresh()
 
     def _on_read_failed(self, failure: StoreFailed) -> None:
         if not self._store_unreachable:
@@ -185,18 +188,18 @@
 
     def _broadcast_view(self) -> None:
         now_s = self.clock.now_s()
-        delta = self.shared_view.delta(now_s)
+        delta = self.shared_view.build_delta(now_s)
         if delta is not None:
             self.shared_view.mark_sent()
             self.link.broadcast(delta)
         self.link.broadcast(
-            self.shared_view.heartbeat(self.peers.build_status(), now_s)
+            self.shared_view.build_heartbeat(self.peer_task.build_status(), now_s)
         )
 
     def _on_heartbeat(self, heartbeat: ViewHeartbeat) -> None:
         now_s = self.clock.now_s()
         view_needed = self._is_list_request_due(
-            self.peers.apply_status(heartbeat), now_s
+            self.peer_task.apply_status(heartbeat), now_s
         )
         view_needed |= self.shared_view.apply_heartbeat(heartbeat, now_s)
         confirmed_at_s = now_s - heartbeat.age_ms / 1_000
@@ -212,17 +215,17 @@
     def _on_state(self, state: ViewState) -> None:
         now_s = self.clock.now_s()
         changed = self.shared_view.apply_state(state, now_s)
-        self.reader.resume_from_peer_offsets()
+        self.store_reader.resume_from_peer_offsets()
         confirmed_at_s = now_s - state.age_ms / 1_000
         self.schedule.record_peer_read(state.sender, confirmed_at_s, now_s)
         self.shared_view.mark_sent()
-        self.peers.apply_instances(state.instances)
+        self.peer_task.apply_instances(state.instances)
         self._list_request_due_at_s = now_s + LIST_REQUEST_INTERVAL_S
         if changed:
-            self._changed("view of a peer", peer=state.sender)
+            self._on_view_changed("view of a peer", peer=state.sender)
 
     def _is_list_request_due(self, is_list_current: bool, now_s: float) -> bool:
-        """Return whether to request the list of instances now, and note the request."""
+        """Return whether to request the list of instances now; record the request."""
         if is_list_current or now_s < self._list_request_due_at_s:
             return False
         self._list_request_due_at_s = now_s + LIST_REQUEST_INTERVAL_S
@@ -235,16 +238,16 @@
             # The next heartbeat has the address to request the whole view from.
             return
         if self.shared_view.is_complete:
-            self.reader.resume_from_peer_offsets()
+            self.store_reader.resume_from_peer_offsets()
         self.shared_view.mark_sent()
         if changed:
-            self._changed("change from a peer", peer=delta.sender)
+            self._on_view_changed("change from a peer", peer=delta.sender)
 
     def _on_request(self, request: ViewRequest) -> None:
         if self.shared_view.is_complete:
             self._send_state(request.reply_address)
 
-    def _reader_is_silent(self) -> bool:
+    def _is_reader_silent(self) -> bool:
         confirmed_at_s = self.shared_view.confirmed_at_s
         if confirmed_at_s is None:
             return True
@@ -254,18 +257,18 @@
         """Send the view to an instance that has just started."""
         if self.shared_view.is_complete:
             self._send_state(address)
-            status = self.peers.published_status()
+            status = self.peer_task.published_status()
             self.link.send(
-                address, self.shared_view.heartbeat(status, self.clock.now_s())
+                address, self.shared_view.build_heartbeat(status, self.clock.now_s())
             )
 
     def _send_state(self, address: str) -> None:
-        state = self.shared_view.state(
-            self.peers.published_instances(), self.clock.now_s()
+        state = self.shared_view.build_state(
+            self.peer_task.published_instances(), self.clock.now_s()
         )
         self.link.send(address, state)
 
-    def _changed(self, cause: str, peer: str | None = None) -> None:
+    def _on_view_changed(self, cause: str, peer: str | None = None) -> None:
         view = self.shared_view.view
         LOG.info(
             "view changed",
--- a/packages/baobabring/baobabring/program/entry/_wait_queue.py
+++ b/packages/baobabring/baobabring/program/entry/_wait_queue.py
@@ -20,7 +20,7 @@
 from baobabring.program.entry._progress import CallProgress
 from baobabring.utils import Clock
 
-# About the time after which a change of a target's free slots makes a difference.
+# The free slots of a target change noticeably within about this time.
 ROUND_INTERVAL_S = 0.012
 SCARCE_ROUND_INTERVAL_S = 0.04
 PROBES_PER_WAITING_CALL = 2
@@ -28,10 +28,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Assignment:
-    """Assign a call to a target, on the connection that the target was probed on."""
+    """Represent the assignment of a call to a target and to its probed connection."""
 
     record: TargetRecord
-    probe: ProbeResponse
+    probe_response: ProbeResponse
     offer: Offer
 
 
@@ -65,7 +65,7 @@
 class WaitQueue:
     """Probe targets in rounds for all waiting calls of a service.
 
-    In each round calls are decided in the order of their priority, then of arrival.
+    In each round, calls are handled in order of priority, then of arrival.
     """
 
     def __init__(
@@ -73,13 +73,13 @@
         ranker: TargetRanker,
         admission: Admission,
         prober: Prober,
-        budget: ProbeRateBudget,
+        probe_budget: ProbeRateBudget,
         clock: Clock,
     ) -> None:
         self.ranker = ranker
         self.admission = admission
         self.prober = prober
-        self.budget = budget
+        self.probe_budget = probe_budget
         self.clock = clock
         self._waiters: dict[str, list[Waiter]] = {}
         self._rounds: dict[str, asyncio.Task] = {}
@@ -94,7 +94,7 @@
     async def wait(
         self, progress: CallProgress, excluded_targets: frozenset[str]
     ) -> Assignment | RefuseCall:
-        """Wait until the call is assigned to a target or refused, and return which."""
+        """Wait until the call is assigned to a target or refused; return the result."""
         call = progress.call
         progress.waited = True
         decision = asyncio.get_running_loop().create_future()
@@ -117,14 +117,14 @@
 
     def _release_assignment(self, decided: Assignment | RefuseCall) -> None:
         if isinstance(decided, Assignment):
-            self.prober.release(decided.probe)
+            self.prober.release(decided.probe_response)
 
     async def _probe_in_rounds(self, service_id: str) -> None:
         waiters = self._waiters[service_id]
         try:
             while waiters:
                 await self._probe_round(service_id, waiters)
-                is_scarce = self.budget.is_scarce
+                is_scarce = self.probe_budget.is_scarce
                 pause_s = SCARCE_ROUND_INTERVAL_S if is_scarce else ROUND_INTERVAL_S
                 await asyncio.sleep(pause_s)
         finally:
@@ -137,7 +137,7 @@
         if service is not None:
             wanted = len(waiters) * PROBES_PER_WAITING_CALL
             wanted = max(wanted, self.ranker.settings.probed_targets)
-            granted = self.budget.grant(wanted)
+            granted = self.probe_budget.grant(wanted)
             records = self.ranker.targets_to_probe(service_id, (), now_s, granted)
             responses = await self.prober.probe(records, service.health_path)
             responses = {response.report.target_id: response for response in responses}
--- a/packages/baobabring/baobabring/program/entry/tests/test_announcements.py
+++ b/packages/baobabring/baobabring/program/entry/tests/test_announcements.py
@@ -21,7 +21,7 @@
         self.puts: list[str] = []
         self.failure: StoreFailed | None = None
 
-    async def newest(self, topic: str) -> Newest | StoreFailed:
+    async def read_newest(self, topic: str) -> Newest | StoreFailed:
         """Return all records."""
         if self.failure is not None:
             return self.failure
--- a/packages/baobabring/baobabring/program/entry/tests/test_wait_queue.py
+++ b/packages/baobabring/baobabring/program/entry/tests/test_wait_queue.py
@@ -80,8 +80,8 @@
         rng,
     )
     ranker.configuration = build_configuration()
-    budget = ProbeRateBudget(60.0)
-    return WaitQueue(ranker, Admission(rng), FakeProber(), budget, LoopClock())
+    probe_budget = ProbeRateBudget(60.0)
+    return WaitQueue(ranker, Admission(rng), FakeProber(), probe_budget, LoopClock())
 
 
 def progress(priority: int) -> CallProgress:
