--- a/benchmarks/balancing_choice.py
+++ b/benchmarks/balancing_choice.py
@@ -1,6 +1,6 @@
-"""Measure the time of a choice of target and the size of updates.
+"""Measure the time to choose a target, and time and size of in-flight updates.
 
-Run with `python benchmarks/balancing_choice.py`; prints a table.
+Run `python benchmarks/balancing_choice.py`; it prints tables.
 """
 
 import time
@@ -28,16 +28,17 @@
 from baobabring.platform import LogRecord, Page
 from tabulate import tabulate
 
-PEERS = 13
+PEER_COUNT = 13
 SLOTS = 2
 ROUNDS = 7
 CHOICES_PER_ROUND = 2_000
-SIZES = ((26, 12), (500, 25), (5_000, 25), (5_000, 5_000))
-ANSWER = Answered(Response(200, (), b""), LoadReport(1, SLOTS, False, False), 20.0)
+# Pairs of the number of targets and the targets per service.
+BALANCER_SIZES = ((26, 12), (500, 25), (5_000, 25), (5_000, 5_000))
+ANSWERED = Answered(Response(200, (), b""), LoadReport(1, SLOTS, False, False), 20.0)
 
 
 def make_balancer(target_count: int, service_size: int, policy: str) -> Balancer:
-    """Return a balancer with warm targets, half of whose slots peers use."""
+    """Return a balancer with this many targets, all of them warm."""
     balancer = create_balancer(
         "instance-0", "zone-0", BalancingSettings(policy=policy), Random(1)
     )
@@ -50,12 +51,12 @@
         service_id = f"service-{start // service_size}"
         services[service_id] = Service(service_id, "/", (), targets)
     balancer.configure(Configuration(1, services), 0.0)
-    warm_up(balancer, target_count)
+    end_cold_starts(balancer, target_count)
     return balancer
 
 
-def warm_up(balancer: Balancer, target_count: int) -> None:
-    """Let probes end the cold start of all targets."""
+def end_cold_starts(balancer: Balancer, target_count: int) -> None:
+    """Report all targets as warm and apply the resulting log records."""
     for index in range(target_count):
         report = LoadReport(0, SLOTS, False, False)
         balancer.record_report(f"target-{index}", report, 0.0)
@@ -68,81 +69,84 @@
         now_s += 1.0
 
 
-def peers_updates(target_count: int, sequence: int, now_s: float) -> list:
-    """Return an update of each peer that names as many targets as it has calls."""
-    rng = Random(sequence)
-    calls = max(1, min(target_count, 26) * SLOTS // 2 // PEERS)
+def make_peer_updates(target_count: int, sequence_number: int, now_s: float) -> list:
+    """Return one update per peer, which together use half the slots of 26 targets."""
+    rng = Random(sequence_number)
+    calls = max(1, min(target_count, 26) * SLOTS // 2 // PEER_COUNT)
     keys = [target_key(f"target-{rng.randrange(target_count)}") for _ in range(calls)]
     return [
         InFlightUpdate(
             f"instance-{peer}",
-            sequence,
+            sequence_number,
             now_s,
             True,
             tuple(TargetCount(key, 1) for key in keys),
         )
-        for peer in range(1, PEERS + 1)
+        for peer in range(1, PEER_COUNT + 1)
     ]
 
 
-def time_choices(balancer: Balancer, target_count: int) -> tuple[float, float]:
-    """Return microseconds a choice, and microseconds a choice, start and end."""
+def measure_choices(balancer: Balancer, target_count: int) -> tuple[float, float]:
+    """Return the microseconds per choice, and per choice with its attempt."""
     now_s = 10_000.0
     service_id = "service-0"
     choice_us = []
     attempt_us = []
     for round_number in range(ROUNDS):
-        for update in peers_updates(target_count, round_number, now_s):
+        for update in make_peer_updates(target_count, round_number, now_s):
             balancer.sharing.apply(update, now_s)
-        started = time.perf_counter()
+        started_s = time.perf_counter()
         for _ in range(CHOICES_PER_ROUND):
             balancer.choose(service_id, now_s)
-        choice_us.append(_microseconds_each(started))
-        started = time.perf_counter()
+        choice_us.append(_elapsed_us_per_item(started_s))
+        started_s = time.perf_counter()
         for _ in range(CHOICES_PER_ROUND):
             target_id = balancer.choose(service_id, now_s)
             balancer.record_attempt_start(target_id, now_s)
-            balancer.record_attempt_end(target_id, ANSWER, now_s)
-        attempt_us.append(_microseconds_each(started))
+            balancer.record_attempt_end(target_id, ANSWERED, now_s)
+        attempt_us.append(_elapsed_us_per_item(started_s))
         now_s += 0.02
     return median(choice_us), median(attempt_us)
 
 
-def time_sharing(balancer: Balancer, target_count: int) -> tuple[float, float]:
-    """Return microseconds to build an update, and to take one in, encoding too."""
+def measure_sharing(balancer: Balancer, target_count: int) -> tuple[float, float]:
+    """Return the microseconds to build and to apply an update.
+
+    Encoding and decoding are included.
+    """
     now_s = 20_000.0
-    outgoing_us = []
+    build_us = []
     apply_us = []
     for round_number in range(100, 100 + ROUNDS):
         payloads = [
             encode_message(update)
-            for number in range(CHOICES_PER_ROUND // PEERS)
-            for update in peers_updates(
+            for number in range(CHOICES_PER_ROUND // PEER_COUNT)
+            for update in make_peer_updates(
                 target_count, 1_000 * round_number + number, now_s
             )
         ]
-        started = time.perf_counter()
+        started_s = time.perf_counter()
         for payload in payloads:
             balancer.sharing.apply(decode_message(payload), now_s)
-        apply_us.append(_microseconds_each(started, len(payloads)))
-        elapsed = 0.0
+        apply_us.append(_elapsed_us_per_item(started_s, len(payloads)))
+        elapsed_s = 0.0
         for number in range(CHOICES_PER_ROUND):
             now_s += 0.05
             balancer.record_attempt_start(f"target-{number % target_count}", now_s)
-            started = time.perf_counter()
+            started_s = time.perf_counter()
             encode_message(balancer.sharing.pop_due_update(now_s))
-            elapsed += time.perf_counter() - started
+            elapsed_s += time.perf_counter() - started_s
             balancer.record_attempt_end(f"target-{number % target_count}", None, now_s)
-        outgoing_us.append(1e6 * elapsed / CHOICES_PER_ROUND)
-    return median(outgoing_us), median(apply_us)
+        build_us.append(1e6 * elapsed_s / CHOICES_PER_ROUND)
+    return median(build_us), median(apply_us)
 
 
-def _microseconds_each(started: float, count: int = CHOICES_PER_ROUND) -> float:
-    return 1e6 * (time.perf_counter() - started) / count
+def _elapsed_us_per_item(started_s: float, count: int = CHOICES_PER_ROUND) -> float:
+    return 1e6 * (time.perf_counter() - started_s) / count
 
 
-def update_sizes() -> list[tuple[int, int]]:
-    """Return pairs of counts named and bytes of the encoded update."""
+def measure_update_sizes() -> list[tuple[int, int]]:
+    """Return pairs of the number of counts and the bytes of the encoded update."""
     rows = []
     for count in (0, 1, 2, 5, 12, 26):
         counts = tuple(TargetCount(target_key(f"target-{i}"), 1) for i in range(count))
@@ -156,23 +160,23 @@
 def main() -> None:
     """Print the tables."""
     rows = []
-    for target_count, service_size in SIZES:
+    for target_count, service_size in BALANCER_SIZES:
         balancer = make_balancer(target_count, service_size, "shared")
         rows.append(
             ("shared", target_count, service_size)
-            + time_choices(balancer, target_count)
+            + measure_choices(balancer, target_count)
         )
     for policy in POLICIES.names():
         balancer = make_balancer(26, 12, policy)
-        rows.append((policy, 26, 12, *time_choices(balancer, 26)))
-    header = ("policy", "targets", "of the service", "choice us", "with attempt us")
+        rows.append((policy, 26, 12, *measure_choices(balancer, 26)))
+    header = ("policy", "targets", "per service", "choice us", "with attempt us")
     print(tabulate(rows, header, floatfmt=".1f"))
     print()
     balancer = make_balancer(26, 12, "shared")
-    header = ("build an update us", "take one in us")
-    print(tabulate([time_sharing(balancer, 26)], header, floatfmt=".1f"))
+    header = ("build an update us", "apply an update us")
+    print(tabulate([measure_sharing(balancer, 26)], header, floatfmt=".1f"))
     print()
-    print(tabulate(update_sizes(), ("counts", "bytes of an update")))
+    print(tabulate(measure_update_sizes(), ("counts", "bytes per update")))
 
 
 if __name__ == "__main__":
--- a/benchmarks/bare_relay.py
+++ b/benchmarks/bare_relay.py
@@ -1,4 +1,4 @@
-"""Bare relay of the same libraries, without any decision: the baseline."""
+"""HTTP relay to one target with the libraries of an instance, as a baseline."""
 
 import aiohttp
 import falcon.asgi
@@ -11,14 +11,14 @@
 
 
 class RelaySink:
-    """Pass each request on to one target."""
+    """Forward each request to one target."""
 
     def __init__(self, target: str) -> None:
         self.target = target
         self._session: aiohttp.ClientSession | None = None
 
     async def __call__(self, request, response) -> None:
-        """Relay one request."""
+        """Forward one request and return the response of the target."""
         if self._session is None:
             self._session = aiohttp.ClientSession(auto_decompress=False)
         body = await request.stream.read()
@@ -27,10 +27,10 @@
             f"http://{self.target}{request.relative_uri}",
             data=body or None,
             headers=request.headers,
-        ) as answer:
-            response.data = await answer.read()
-            response.status = answer.status
-            response.content_type = answer.content_type
+        ) as target_response:
+            response.data = await target_response.read()
+            response.status = target_response.status
+            response.content_type = target_response.content_type
 
 
 def _main(argv: list[str]) -> None:
--- a/benchmarks/capacity_configuration.py
+++ b/benchmarks/capacity_configuration.py
@@ -1,4 +1,4 @@
-"""Measure records and fold of the configuration against its size."""
+"""Measure the records and the replica of the configuration against its size."""
 
 import random
 
@@ -14,21 +14,21 @@
 from baobabring.platform import LogRecord
 from capacity_slopes import (
     Slope,
-    fit_slope,
-    memory_slope,
+    fit_cost_slope,
+    measure_memory_slope,
+    measure_size_slope,
+    measure_time_ns,
+    measure_time_slope,
     print_slopes,
-    size_slope,
-    time_ns,
-    time_slope,
 )
 
 TARGETS_PER_SERVICE = 25
-SERVICES = (10, 50, 100, 200)
-TARGETS = (5, 25, 100)
+SERVICE_COUNTS = (10, 50, 100, 200)
+TARGET_COUNTS = (5, 25, 100)
 NOW_S = 1.8e9
 
 
-def make_service(number: int, targets: int = TARGETS_PER_SERVICE) -> Service:
+def make_service(number: int, target_count: int = TARGETS_PER_SERVICE) -> Service:
     """Return a service with two rules and this many targets."""
     rules = (
         Rule("POST", "/orders/*", KeyRule.REQUIRED, 5000, "payment", 0),
@@ -45,90 +45,101 @@
                 f"zone-{index % 10}",
                 2,
             )
-            for index in range(targets)
+            for index in range(target_count)
         ),
     )
 
 
-def record_of(offset: int, change: object) -> LogRecord:
-    """Return a log record of a change that is based on the record before."""
+def make_log_record(offset: int, change: object) -> LogRecord:
+    """Return a log record of a change based on the previous record."""
     record = ChangeRecord(f"change-{offset:032}", offset, change)
     return LogRecord(offset, NOW_S, encode_record(record))
 
 
-def make_fold(services: int) -> ConfigurationReplica:
-    """Return a fold with this many services of 25 targets."""
-    fold = ConfigurationReplica()
-    for number in range(services):
-        fold.apply(record_of(number, PutService(make_service(number))))
-    if len(fold.configuration.services) != services:
-        raise ValueError(f"{len(fold.configuration.services)} services, not {services}")
-    return fold
+def make_replica(service_count: int) -> ConfigurationReplica:
+    """Return a replica with this many services of 25 targets."""
+    replica = ConfigurationReplica()
+    for number in range(service_count):
+        replica.apply(make_log_record(number, PutService(make_service(number))))
+    if len(replica.configuration.services) != service_count:
+        raise ValueError(
+            f"replica has {len(replica.configuration.services)} services, "
+            f"expected {service_count}"
+        )
+    return replica
 
 
-def change_states(services: int) -> float:
-    """Return the time in ns to fold one change of a target's state."""
-    fold = make_fold(services)
-    offset = fold.next_offset
+def measure_apply_ns(service_count: int) -> float:
+    """Return the time in ns to encode and apply one change of a target's state."""
+    replica = make_replica(service_count)
+    offset = replica.next_offset
     states = (TargetState.DRAINING, TargetState.ACTIVE)
 
-    def change() -> None:
+    def apply_change() -> None:
         nonlocal offset
         state = SetTargetState("service-001", "target-001-003", states[offset % 2])
-        fold.apply(record_of(offset, state))
+        replica.apply(make_log_record(offset, state))
         offset += 1
 
-    return time_ns(change)
+    return measure_time_ns(apply_change)
 
 
-def fold_slope() -> Slope:
-    """Return the slope of the fold of one change against the services."""
-    costs = [[change_states(n) for n in SERVICES] for _ in range(5)]
-    return fit_slope("encode and fold one change, each service", "ns", SERVICES, costs)
+def measure_apply_slope() -> Slope:
+    """Return the slope of the time to apply one change against the services."""
+    costs = [[measure_apply_ns(n) for n in SERVICE_COUNTS] for _ in range(5)]
+    return fit_cost_slope(
+        "encode and apply one change, per service", "ns", SERVICE_COUNTS, costs
+    )
 
 
 def main() -> None:
     """Print the slopes."""
     slopes = [
-        size_slope(
-            "record that puts a service, each target",
-            TARGETS,
-            lambda n: record_of(0, PutService(make_service(1, n))).payload,
+        measure_size_slope(
+            "record that puts a service, per target",
+            TARGET_COUNTS,
+            lambda n: make_log_record(0, PutService(make_service(1, n))).payload,
+        ),
+        measure_size_slope(
+            "snapshot, per service of 25 targets",
+            SERVICE_COUNTS,
+            lambda n: make_replica(n).create_snapshot_payload(),
         ),
-        size_slope(
-            "snapshot, each service of 25 targets",
-            SERVICES,
-            lambda n: make_fold(n).create_snapshot_payload(),
+        measure_apply_slope(),
+        measure_time_slope(
+            "write a snapshot, per service of 25 targets",
+            SERVICE_COUNTS,
+            lambda n: make_replica(n).create_snapshot_payload,
         ),
-        fold_slope(),
-        time_slope(
-            "write a snapshot, each service of 25 targets",
-            SERVICES,
-            lambda n: make_fold(n).create_snapshot_payload,
+        measure_time_slope(
+            "load a snapshot, per service of 25 targets", SERVICE_COUNTS, prepare_load
         ),
-        time_slope(
-            "load a snapshot, each service of 25 targets", SERVICES, load_snapshot
+        measure_memory_slope(
+            "replica, per service of 25 targets", SERVICE_COUNTS, make_replica
         ),
-        memory_slope("fold, each service of 25 targets", SERVICES, make_fold),
     ]
     slopes.append(
-        time_slope("balancer adopts, each service of 25 targets", SERVICES, adopt)
+        measure_time_slope(
+            "Balancer.configure, per service of 25 targets",
+            SERVICE_COUNTS,
+            prepare_configure,
+        )
     )
     print_slopes("Configuration", slopes)
     state = SetTargetState("service-001", "target-001-003", TargetState.DRAINING)
-    print(f"record of a target's state: {len(record_of(0, state).payload)} bytes")
+    print(f"record of a target's state: {len(make_log_record(0, state).payload)} bytes")
 
 
-def adopt(services: int):
-    """Return an action that hands a configuration to the choice of targets."""
-    configuration = make_fold(services).configuration
+def prepare_configure(service_count: int):
+    """Return an action that applies a configuration to a balancer."""
+    configuration = make_replica(service_count).configuration
     balancer = create_balancer("i-1", "zone-0", BalancingSettings(), random.Random(1))
     return lambda: balancer.configure(configuration, NOW_S)
 
 
-def load_snapshot(services: int):
-    """Return an action that loads the state of a peer."""
-    payload = make_fold(services).create_snapshot_payload()
+def prepare_load(service_count: int):
+    """Return an action that loads a snapshot into a new replica."""
+    payload = make_replica(service_count).create_snapshot_payload()
     return lambda: ConfigurationReplica().load_snapshot(payload)
 
 
--- a/benchmarks/capacity_fleet_probes.py
+++ b/benchmarks/capacity_fleet_probes.py
@@ -1,7 +1,7 @@
-"""Count the probes of a simulated fleet against its budget.
+"""Measure how a simulated fleet uses its probe budget.
 
-Nothing is sent: the schedulers run on a clock of their own, each probe takes effect
-at once, and its result reaches all instances one step later.
+No probe is sent: the schedulers run on simulated time, each probe succeeds
+immediately, and its result reaches all instances one step later.
 """
 
 import random
@@ -10,83 +10,91 @@
 from baobabring.probing import ProbeReason, ProbeSettings, create_probe_scheduler
 from tabulate import tabulate
 
-FLEETS = (3, 14, 50)
-TARGETS = 26
+FLEET_SIZES = (3, 14, 50)
+TARGET_COUNT = 26
 STEP_S = 0.05
-RUN_S = 60.0
+DURATION_S = 60.0
 RETURN_AT_S = 30.0
-RETURNED = 9
+RETURNED_TARGET_COUNT = 9
 SEEDS = (1, 2, 3)
 
 
 @dataclass(frozen=True, slots=True)
-class Spent:
-    """Hold the share of the budget spent and the slowest notice of a return."""
+class FleetResult:
+    """Represent the budget share spent and the longest probe delay after a return."""
 
     budget_share: float
-    noticed_after_s: float
+    max_probe_delay_s: float
 
 
-def run_fleet(instances: int, idle_share: float, seed: int) -> Spent:
-    """Run a fleet of which this share of targets gets no traffic."""
+def simulate_fleet(instance_count: int, idle_share: float, seed: int) -> FleetResult:
+    """Simulate a fleet in which this share of the targets gets no traffic."""
     rng = random.Random(seed)
     settings = ProbeSettings()
-    fleet = [f"instance-{rng.getrandbits(32):08x}" for _ in range(instances)]
-    targets = [f"target-{rng.getrandbits(32):08x}" for _ in range(TARGETS)]
-    busy = targets[: int(TARGETS * (1 - idle_share))]
-    schedulers = [create_probe_scheduler(name, settings) for name in fleet]
+    instance_ids = [
+        f"instance-{rng.getrandbits(32):08x}" for _ in range(instance_count)
+    ]
+    target_ids = [f"target-{rng.getrandbits(32):08x}" for _ in range(TARGET_COUNT)]
+    busy_target_ids = target_ids[: int(TARGET_COUNT * (1 - idle_share))]
+    schedulers = [create_probe_scheduler(name, settings) for name in instance_ids]
     for scheduler in schedulers:
-        scheduler.set_instances(fleet, instances, 0.0)
-        scheduler.set_targets(targets, 0.0)
-    noticed_at_s: dict[str, float] = {}
-    shared = []
-    for step in range(int(RUN_S / STEP_S)):
+        scheduler.set_instances(instance_ids, instance_count, 0.0)
+        scheduler.set_targets(target_ids, 0.0)
+    probed_at_s: dict[str, float] = {}
+    last_step_results = []
+    for step in range(int(DURATION_S / STEP_S)):
         now_s = step * STEP_S
-        returned = step == int(RETURN_AT_S / STEP_S)
-        ended = []
+        targets_return = step == int(RETURN_AT_S / STEP_S)
+        results = []
         for scheduler in schedulers:
-            for result in shared:
+            for result in last_step_results:
                 scheduler.apply_shared(result)
-            for target_id in busy:
+            for target_id in busy_target_ids:
                 scheduler.record_traffic(target_id, now_s)
-            if returned:
-                for target_id in targets[-RETURNED:]:
+            if targets_return:
+                for target_id in target_ids[-RETURNED_TARGET_COUNT:]:
                     scheduler.set_reason(target_id, ProbeReason.RETURNED, now_s)
             for target_id in scheduler.start_due_probes(now_s):
-                ended.append(scheduler.record_probe_end(target_id, True, now_s))
+                results.append(scheduler.record_probe_end(target_id, True, now_s))
                 if now_s >= RETURN_AT_S:
-                    noticed_at_s.setdefault(target_id, now_s)
-        shared = ended
+                    probed_at_s.setdefault(target_id, now_s)
+        last_step_results = results
     spent_ms = sum(scheduler.probe_totals.spent_ms for scheduler in schedulers)
-    slowest_s = max(noticed_at_s.get(name, RUN_S) for name in targets[-RETURNED:])
-    return Spent(
-        spent_ms / (settings.probe_budget_ms_per_s * RUN_S), slowest_s - RETURN_AT_S
+    last_probed_at_s = max(
+        probed_at_s.get(name, DURATION_S)
+        for name in target_ids[-RETURNED_TARGET_COUNT:]
+    )
+    return FleetResult(
+        spent_ms / (settings.probe_budget_ms_per_s * DURATION_S),
+        last_probed_at_s - RETURN_AT_S,
     )
 
 
 def main() -> None:
-    """Print the spend and the time to notice, over seeds."""
+    """Print the range over the seeds of the budget spent and the probe delay."""
     rows = []
-    for instances in FLEETS:
+    for instance_count in FLEET_SIZES:
         for idle_share in (0.4, 1.0):
-            runs = [run_fleet(instances, idle_share, seed) for seed in SEEDS]
+            results = [
+                simulate_fleet(instance_count, idle_share, seed) for seed in SEEDS
+            ]
             rows.append(
                 (
-                    instances,
+                    instance_count,
                     idle_share,
-                    min(run.budget_share for run in runs),
-                    max(run.budget_share for run in runs),
-                    min(run.noticed_after_s for run in runs),
-                    max(run.noticed_after_s for run in runs),
+                    min(result.budget_share for result in results),
+                    max(result.budget_share for result in results),
+                    min(result.max_probe_delay_s for result in results),
+                    max(result.max_probe_delay_s for result in results),
                 )
             )
     headers = (
         "instances",
-        "idle targets",
-        "budget spent, least",
-        "most",
-        "returned noticed after s, least",
-        "most",
+        "idle target share",
+        "budget share spent, min",
+        "max",
+        "probe delay after return s, min",
+        "max",
     )
     print(tabulate(rows, headers, floatfmt=".3g"))
 
--- a/benchmarks/capacity_membership.py
+++ b/benchmarks/capacity_membership.py
@@ -2,13 +2,13 @@
 
 from baobabring.membership import Heartbeat, Membership, create_membership
 from baobabring.platform import InstanceInfo, InstanceState
-from capacity_slopes import memory_slope, print_slopes, time_slope
+from capacity_slopes import measure_memory_slope, measure_time_slope, print_slopes
 
 FLEET_SIZES = (14, 100, 400, 1400)
 NOW_S = 1.8e9
 
 
-def make_list(instances: int) -> tuple[InstanceInfo, ...]:
+def make_instance_list(instance_count: int) -> tuple[InstanceInfo, ...]:
     """Return the platform's list of this many instances."""
     return tuple(
         InstanceInfo(
@@ -17,7 +17,7 @@
             f"10.0.0.1:{number}",
             InstanceState.LIVE,
         )
-        for number in range(instances)
+        for number in range(instance_count)
     )
 
 
@@ -36,49 +36,55 @@
     )
 
 
-def make_view(instances: int) -> Membership:
-    """Return a view in which all listed instances were heard."""
+def make_view(instance_count: int) -> Membership:
+    """Return a view with a heartbeat from each listed instance."""
     view = create_membership("instance-0000")
-    listed = make_list(instances)
+    listed = make_instance_list(instance_count)
     view.apply_list(listed, NOW_S)
     for info in listed:
         view.record_heartbeat(make_heartbeat(info, 1), NOW_S)
     return view
 
 
-def hear_all(instances: int):
-    """Return an action that takes over one heartbeat of each instance."""
+def prepare_record_heartbeats(instance_count: int):
+    """Return an action that records one heartbeat of each instance."""
     view = create_membership("instance-0000")
-    listed = make_list(instances)
+    listed = make_instance_list(instance_count)
     sequence = 0
 
-    def hear() -> None:
+    def record_heartbeats() -> None:
         nonlocal sequence
         sequence += 1
         for info in listed:
             view.record_heartbeat(make_heartbeat(info, sequence), NOW_S)
 
-    return hear
+    return record_heartbeats
 
 
 def main() -> None:
     """Print the slopes."""
-    calls = (
+    method_names = (
         "get_live_instances",
         "get_members",
         "suspected_peers",
         "get_reachable_share",
     )
     slopes = [
-        time_slope(
-            f"{call}, each instance",
+        measure_time_slope(
+            f"{method_name}, per instance",
             FLEET_SIZES,
-            lambda n, call=call: _bind(getattr(make_view(n), call)),
+            lambda n, method_name=method_name: _bind(
+                getattr(make_view(n), method_name)
+            ),
         )
-        for call in calls
+        for method_name in method_names
     ]
-    slopes.append(time_slope("heard, each heartbeat", FLEET_SIZES, hear_all))
-    slopes.append(memory_slope("view, each instance", FLEET_SIZES, make_view))
+    slopes.append(
+        measure_time_slope(
+            "record_heartbeat, per heartbeat", FLEET_SIZES, prepare_record_heartbeats
+        )
+    )
+    slopes.append(measure_memory_slope("view, per instance", FLEET_SIZES, make_view))
     print_slopes("View of the fleet", slopes)
 
 
--- a/benchmarks/capacity_messages.py
+++ b/benchmarks/capacity_messages.py
@@ -1,4 +1,4 @@
-"""Measure size and time of heartbeats and of updates of calls in flight."""
+"""Measure size, encoding and decoding of heartbeats and of in-flight updates."""
 
 from baobabring.balancing import (
     InFlightUpdate,
@@ -7,17 +7,17 @@
 from baobabring.membership import Heartbeat
 from baobabring.peers import decode_message, encode_message
 from baobabring.platform import InstanceState
-from capacity_slopes import print_slopes, size_slope, time_slope
+from capacity_slopes import measure_size_slope, measure_time_slope, print_slopes
 
 ID_LENGTHS = (8, 16, 32, 64)
-COUNTS = (1, 8, 32, 128)
+TARGET_COUNTS = (1, 8, 32, 128)
 NOW_S = 1.8e9
 
 
-def make_heartbeat(id_bytes: int) -> Heartbeat:
+def make_heartbeat(id_length_bytes: int) -> Heartbeat:
     """Return a heartbeat with an identifier of this length."""
     return Heartbeat(
-        "i" * id_bytes,
+        "i" * id_length_bytes,
         "sapporo",
         "10.10.100.100:7000",
         1_800_000_000_000_000,
@@ -29,45 +29,47 @@
     )
 
 
-def make_update(counts: int) -> InFlightUpdate:
-    """Return an update with this many counts."""
+def make_update(target_count: int) -> InFlightUpdate:
+    """Return an update with the counts of this many targets."""
     return InFlightUpdate(
         "instance-0001",
         1_800_000_000_000_000,
         NOW_S + 0.123,
         False,
-        tuple(TargetCount(4_000_000_000 - number, 2) for number in range(counts)),
+        tuple(TargetCount(4_000_000_000 - number, 2) for number in range(target_count)),
     )
 
 
 def main() -> None:
     """Print the slopes."""
     updates = [
-        size_slope("update, bytes each count", COUNTS, lambda n: update_bytes(n)),
-        time_slope(
-            "update encode, each count",
-            COUNTS,
+        measure_size_slope(
+            "update, per target", TARGET_COUNTS, lambda n: encode_update(n)
+        ),
+        measure_time_slope(
+            "update encode, per target",
+            TARGET_COUNTS,
             lambda n: _bind(encode_message, make_update(n)),
         ),
-        time_slope(
-            "update decode, each count",
-            COUNTS,
-            lambda n: _bind(decode_message, update_bytes(n)),
+        measure_time_slope(
+            "update decode, per target",
+            TARGET_COUNTS,
+            lambda n: _bind(decode_message, encode_update(n)),
         ),
     ]
     heartbeats = [
-        size_slope(
-            "heartbeat, bytes each byte of id",
+        measure_size_slope(
+            "heartbeat, per byte of id",
             ID_LENGTHS,
             lambda n: encode_message(make_heartbeat(n)),
         ),
-        time_slope(
-            "heartbeat encode, each byte of id",
+        measure_time_slope(
+            "heartbeat encode, per byte of id",
             ID_LENGTHS,
             lambda n: _bind(encode_message, make_heartbeat(n)),
         ),
-        time_slope(
-            "heartbeat decode, each byte of id",
+        measure_time_slope(
+            "heartbeat decode, per byte of id",
             ID_LENGTHS,
             lambda n: _bind(decode_message, encode_message(make_heartbeat(n))),
         ),
@@ -75,9 +77,9 @@
     print_slopes("Messages between instances", heartbeats + updates)
 
 
-def update_bytes(counts: int) -> bytes:
-    """Return an encoded update with this many counts."""
-    return encode_message(make_update(counts))
+def encode_update(target_count: int) -> bytes:
+    """Return an encoded update with the counts of this many targets."""
+    return encode_message(make_update(target_count))
 
 
 def _bind(action, argument):
--- a/benchmarks/capacity_metrics.py
+++ b/benchmarks/capacity_metrics.py
@@ -1,14 +1,19 @@
-"""Measure the histograms for each tenant and class."""
+"""Measure the cost of a latency histogram per tenant and request class."""
 
-from capacity_slopes import memory_slope, print_slopes, size_slope, time_slope
+from capacity_slopes import (
+    measure_memory_slope,
+    measure_size_slope,
+    measure_time_slope,
+    print_slopes,
+)
 from prometheus_client import CollectorRegistry, Histogram, generate_latest
 
-SERIES = (10, 100, 400, 1000)
+SERIES_COUNTS = (10, 100, 400, 1000)
 BUCKETS_S = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0)
 
 
-def make_registry(series: int) -> CollectorRegistry:
-    """Return a registry with a histogram of this many tenants."""
+def make_registry(series_count: int) -> CollectorRegistry:
+    """Return a registry with a histogram for this many tenants."""
     registry = CollectorRegistry()
     histogram = Histogram(
         "baobabring_call_seconds",
@@ -17,20 +22,20 @@
         registry=registry,
         buckets=BUCKETS_S,
     )
-    for number in range(series):
+    for number in range(series_count):
         histogram.labels(f"tenant-{number}", "payment").observe(0.0123)
-    registry.kept = histogram
+    registry.tenant_histogram = histogram
     return registry
 
 
-def observe_all(series: int):
-    """Return an action that observes one call of each tenant."""
-    histogram = make_registry(series).kept
-    names = [f"tenant-{number}" for number in range(series)]
+def prepare_observe(series_count: int):
+    """Return an action that records one call of each tenant."""
+    histogram = make_registry(series_count).tenant_histogram
+    tenants = [f"tenant-{number}" for number in range(series_count)]
 
     def observe() -> None:
-        for name in names:
-            histogram.labels(name, "payment").observe(0.0123)
+        for tenant in tenants:
+            histogram.labels(tenant, "payment").observe(0.0123)
 
     return observe
 
@@ -38,21 +43,25 @@
 def main() -> None:
     """Print the slopes."""
     slopes = [
-        memory_slope("histogram, each tenant and class", SERIES, make_registry),
-        time_slope("observe, each call", SERIES, observe_all),
-        time_slope(
-            "scrape, each tenant and class", SERIES, lambda n: _scrape(make_registry(n))
+        measure_memory_slope(
+            "histogram, per tenant and class", SERIES_COUNTS, make_registry
         ),
-        size_slope(
-            "scrape, each tenant and class",
-            SERIES,
+        measure_time_slope("observe, per call", SERIES_COUNTS, prepare_observe),
+        measure_time_slope(
+            "scrape, per tenant and class",
+            SERIES_COUNTS,
+            lambda n: _prepare_scrape(make_registry(n)),
+        ),
+        measure_size_slope(
+            "scrape, per tenant and class",
+            SERIES_COUNTS,
             lambda n: generate_latest(make_registry(n)),
         ),
     ]
     print_slopes(f"Histograms of {len(BUCKETS_S)} buckets", slopes)
 
 
-def _scrape(registry: CollectorRegistry):
+def _prepare_scrape(registry: CollectorRegistry):
     return lambda: generate_latest(registry)
 
 
--- a/benchmarks/capacity_peers.py
+++ b/benchmarks/capacity_peers.py
@@ -1,6 +1,6 @@
-"""Measure what connections to peers and heartbeats over them cost a sender.
+"""Measure CPU time and memory of sending heartbeats to peers.
 
-The peers' sockets are in a child process, which this program starts as
+The sockets of the peers are in a child process, started as
 `capacity_peers.py hear COUNT`.
 """
 
@@ -14,9 +14,9 @@
 import zmq
 from baobabring.peers import create_peer_transport, encode_message
 from capacity_messages import make_heartbeat
-from capacity_slopes import fit_slope, print_slopes
+from capacity_slopes import fit_cost_slope, print_slopes
 
-PEERS = (20, 100, 400)
+PEER_COUNTS = (20, 100, 400)
 REPEATS = 3
 WINDOW_S = 8.0
 WARM_UP_S = 2.0
@@ -25,8 +25,8 @@
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
-def hear(count: int) -> None:
-    """Bind this many sockets, print their addresses and read until ended."""
+def receive_forever(count: int) -> None:
+    """Bind this many sockets, print their addresses and read until killed."""
     context = zmq.Context()
     context.max_sockets = 2 * count + 10
     poller = zmq.Poller()
@@ -40,75 +40,75 @@
             socket.recv()
 
 
-def memory_bytes() -> int:
+def get_resident_memory_bytes() -> int:
     """Return the resident memory of this process."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * PAGE_BYTES
 
 
-def processor_s() -> float:
-    """Return the processor time of this process, all threads."""
+def get_cpu_s() -> float:
+    """Return the CPU time of all threads of this process."""
     usage = resource.getrusage(resource.RUSAGE_SELF)
     return usage.ru_utime + usage.ru_stime
 
 
-async def send_rounds(transport, addresses: list[str], seconds: float) -> int:
-    """Send a heartbeat to each peer in each round; return the frames dropped."""
+async def send_rounds(transport, addresses: list[str], duration_s: float) -> int:
+    """Send heartbeats to all peers in rounds; return the number of dropped frames."""
     frame = encode_message(make_heartbeat(16))
     dropped = 0
-    for _ in range(int(seconds * ROUNDS_PER_S)):
+    for _ in range(int(duration_s * ROUNDS_PER_S)):
         dropped += sum(not transport.send(address, frame) for address in addresses)
         await asyncio.sleep(1 / ROUNDS_PER_S)
     return dropped
 
 
 async def measure(count: int) -> tuple[float, float]:
-    """Return processor ms each second and bytes that this many peers cost."""
+    """Return the CPU ms per second and the bytes used for this many peers."""
     child = await asyncio.create_subprocess_exec(
         sys.executable, __file__, "hear", str(count), stdout=asyncio.subprocess.PIPE
     )
     try:
         lines = [await child.stdout.readline() for _ in range(count)]
         addresses = [line.decode().strip() for line in lines]
-        before_bytes = memory_bytes()
+        before_bytes = get_resident_memory_bytes()
         transport = create_peer_transport(f"{HOST}:0", None)
         await send_rounds(transport, addresses, WARM_UP_S)
-        spent_s, started_s = processor_s(), time.monotonic()
+        cpu_used_s, started_s = get_cpu_s(), time.monotonic()
         dropped = await send_rounds(transport, addresses, WINDOW_S)
-        taken_s = time.monotonic() - started_s
-        spent_s = processor_s() - spent_s
-        held_bytes = memory_bytes() - before_bytes
+        elapsed_s = time.monotonic() - started_s
+        cpu_used_s = get_cpu_s() - cpu_used_s
+        used_bytes = get_resident_memory_bytes() - before_bytes
         transport.close()
     finally:
         child.kill()
         await child.wait()
     if dropped:
-        raise RuntimeError(f"{dropped} frames dropped")
-    return spent_s / taken_s * 1000, held_bytes
+        raise RuntimeError(f"transport dropped {dropped} frames")
+    return cpu_used_s / elapsed_s * 1000, used_bytes
 
 
 async def main() -> None:
     """Print the slopes."""
-    await measure(PEERS[0])
-    costs = [[await measure(count) for count in PEERS] for _ in range(REPEATS)]
+    await measure(PEER_COUNTS[0])
+    costs = [[await measure(count) for count in PEER_COUNTS] for _ in range(REPEATS)]
     slopes = [
-        fit_slope(
-            "processor each second, each peer",
+        fit_cost_slope(
+            "CPU time per second, per peer",
             "ms",
-            PEERS,
+            PEER_COUNTS,
             [[pair[0] for pair in row] for row in costs],
         ),
-        fit_slope(
-            "resident memory, each peer",
+        fit_cost_slope(
+            "resident memory, per peer",
             "bytes",
-            PEERS,
+            PEER_COUNTS,
             [[pair[1] for pair in row] for row in costs],
         ),
     ]
-    print_slopes("Connections to peers, 2 heartbeats a second to each", slopes)
+    print_slopes("Connections to peers, 2 heartbeats per second to each", slopes)
 
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["hear"]:
-        hear(int(sys.argv[2]))
+        receive_forever(int(sys.argv[2]))
     else:
         asyncio.run(main())
--- a/benchmarks/capacity_probing.py
+++ b/benchmarks/capacity_probing.py
@@ -1,57 +1,59 @@
-"""Measure time and memory of the choice of targets to probe."""
+"""Measure time and memory of scheduling probes."""
 
 from baobabring.probing import ProbeScheduler, create_probe_scheduler, ranked_probers
-from capacity_slopes import memory_slope, print_slopes, time_slope
+from capacity_slopes import measure_memory_slope, measure_time_slope, print_slopes
 
-TARGETS = (26, 250, 1000, 5000)
+TARGET_COUNTS = (26, 250, 1000, 5000)
 FLEET_SIZES = (14, 100, 400, 1400)
 
 
-def make_scheduler(targets: int) -> ProbeScheduler:
+def make_scheduler(target_count: int) -> ProbeScheduler:
     """Return a scheduler with this many targets, none of them due."""
     scheduler = create_probe_scheduler("instance-0000")
     scheduler.set_instances([f"instance-{n:04}" for n in range(14)], 14, 0.0)
-    names = [f"target-{n:04}" for n in range(targets)]
-    scheduler.set_targets(names, 0.0)
-    for name in names:
-        scheduler.record_traffic(name, 10.0)
+    ids = [f"target-{n:04}" for n in range(target_count)]
+    scheduler.set_targets(ids, 0.0)
+    for target_id in ids:
+        scheduler.record_traffic(target_id, 10.0)
     return scheduler
 
 
-def rank_one(instances: int):
+def prepare_rank(instance_count: int):
     """Return an action that ranks the instances for one target."""
-    names = [f"instance-{n:04}" for n in range(instances)]
-    return lambda: ranked_probers("target-0001", names)
+    ids = [f"instance-{n:04}" for n in range(instance_count)]
+    return lambda: ranked_probers("target-0001", ids)
 
 
-def see_traffic(targets: int):
-    """Return an action that records an answer of each target."""
-    scheduler = make_scheduler(targets)
-    names = [f"target-{n:04}" for n in range(targets)]
+def prepare_record_traffic(target_count: int):
+    """Return an action that records traffic of each target."""
+    scheduler = make_scheduler(target_count)
+    ids = [f"target-{n:04}" for n in range(target_count)]
 
-    def see() -> None:
-        for name in names:
-            scheduler.record_traffic(name, 10.0)
+    def record_traffic_of_all() -> None:
+        for target_id in ids:
+            scheduler.record_traffic(target_id, 10.0)
 
-    return see
+    return record_traffic_of_all
 
 
 def main() -> None:
     """Print the slopes."""
     slopes = [
-        time_slope(
-            "start_due_probes, each target not due",
-            TARGETS,
-            lambda n: _due(make_scheduler(n)),
+        measure_time_slope(
+            "start_due_probes, per target not due",
+            TARGET_COUNTS,
+            lambda n: _prepare_start_due_probes(make_scheduler(n)),
         ),
-        time_slope("record_traffic, each answer", TARGETS, see_traffic),
-        time_slope("ranked_probers, each instance", FLEET_SIZES, rank_one),
-        memory_slope("scheduler, each target", TARGETS, make_scheduler),
+        measure_time_slope(
+            "record_traffic, per call", TARGET_COUNTS, prepare_record_traffic
+        ),
+        measure_time_slope("ranked_probers, per instance", FLEET_SIZES, prepare_rank),
+        measure_memory_slope("scheduler, per target", TARGET_COUNTS, make_scheduler),
     ]
     print_slopes("Probes", slopes)
 
 
-def _due(scheduler: ProbeScheduler):
+def _prepare_start_due_probes(scheduler: ProbeScheduler):
     return lambda: scheduler.start_due_probes(11.0)
 
 
--- a/benchmarks/capacity_subsets.py
+++ b/benchmarks/capacity_subsets.py
@@ -1,7 +1,8 @@
-"""Compute how evenly services, targets and connections spread over instances.
+"""Compute how evenly services and their targets are distributed over instances.
 
-Each service has a set of home instances by rendezvous hashing; only these connect to
-its targets. With a cap, an instance that is full is passed over for the next one.
+Rendezvous hashing assigns a subset of the instances to each service; only these
+connect to its targets. With bounded loads, an instance that has reached the limit is
+skipped in favour of the next one in the ranking.
 """
 
 import math
@@ -12,87 +13,100 @@
 from baobabring.probing import ranked_probers
 from tabulate import tabulate
 
-SERVICES = 200
+SERVICE_COUNT = 200
 TARGETS_PER_SERVICE = 25
-FLEETS = (350, 1400, 1840)
-HOMES = (14, 28, 56)
+FLEET_SIZES = (350, 1400, 1840)
+SUBSET_SIZES = (14, 28, 56)
 SEEDS = (1, 2, 3)
-CAP_FACTOR = 1.1
+MAX_LOAD_FACTOR = 1.1
 
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """Hold the services homed at the least and the most loaded instance."""
+    """Represent the services per instance and the changes to the subsets.
 
-    least: int
-    most: int
-    moved: int
-    short: int
+    `moved_count` counts the assignments that move when one instance is replaced,
+    `incomplete_count` the services whose subset is smaller than intended.
+    """
 
+    min_services: int
+    max_services: int
+    moved_count: int
+    incomplete_count: int
 
-def assign_homes(
-    services: list[str], instances: list[str], homes: int, cap: int
+
+def assign_subsets(
+    services: list[str], instances: list[str], subset_size: int, max_load: int
 ) -> dict[str, set[str]]:
-    """Return the home instances of each service; none has more than `cap`."""
-    held: Counter[str] = Counter()
-    assigned = {}
+    """Return the subset of each service; no instance has more than `max_load`."""
+    load_counts: Counter[str] = Counter()
+    subsets = {}
     for service in services:
         ranked = ranked_probers(service, instances)
-        chosen = [name for name in ranked if held[name] < cap][:homes]
-        held.update(chosen)
-        assigned[service] = set(chosen)
-    return assigned
+        subset = [name for name in ranked if load_counts[name] < max_load][:subset_size]
+        load_counts.update(subset)
+        subsets[service] = set(subset)
+    return subsets
 
 
-def measure_spread(instances: int, homes: int, capped: bool, seed: int) -> Spread:
-    """Return the spread, and the homes that move when one instance is replaced."""
+def measure_spread(
+    instances: int, subset_size: int, bounded: bool, seed: int
+) -> Spread:
+    """Return the spread for one fleet of random instances and services."""
     rng = random.Random(seed)
     names = [f"instance-{rng.getrandbits(32):08x}" for _ in range(instances)]
-    services = [f"service-{rng.getrandbits(32):08x}" for _ in range(SERVICES)]
-    mean = SERVICES * homes / instances
-    cap = math.ceil(mean * CAP_FACTOR) if capped else SERVICES
-    before = assign_homes(services, names, homes, cap)
-    replaced = [*names[1:], "instance-new"]
-    after = assign_homes(services, replaced, homes, cap)
-    held = Counter(dict.fromkeys(names, 0))
-    for chosen in before.values():
-        held.update(chosen)
-    moved = sum(len(before[service] - after[service]) for service in services)
-    short = sum(len(chosen) < homes for chosen in before.values())
-    return Spread(min(held.values()), max(held.values()), moved, short)
+    services = [f"service-{rng.getrandbits(32):08x}" for _ in range(SERVICE_COUNT)]
+    mean_services = SERVICE_COUNT * subset_size / instances
+    max_load = math.ceil(mean_services * MAX_LOAD_FACTOR) if bounded else SERVICE_COUNT
+    before = assign_subsets(services, names, subset_size, max_load)
+    names_after = [*names[1:], "instance-new"]
+    after = assign_subsets(services, names_after, subset_size, max_load)
+    load_counts = Counter(dict.fromkeys(names, 0))
+    for subset in before.values():
+        load_counts.update(subset)
+    moved_count = sum(len(before[service] - after[service]) for service in services)
+    incomplete_count = sum(len(subset) < subset_size for subset in before.values())
+    return Spread(
+        min(load_counts.values()),
+        max(load_counts.values()),
+        moved_count,
+        incomplete_count,
+    )
 
 
 def main() -> None:
-    """Print the spread for each size of fleet and of home sets."""
+    """Print the spread for each fleet size and subset size."""
     rows = []
-    for instances in FLEETS:
-        for homes in HOMES:
-            for capped in (False, True):
-                spreads = [measure_spread(instances, homes, capped, s) for s in SEEDS]
-                most = max(spread.most for spread in spreads)
+    for instances in FLEET_SIZES:
+        for subset_size in SUBSET_SIZES:
+            for bounded in (False, True):
+                spreads = [
+                    measure_spread(instances, subset_size, bounded, s) for s in SEEDS
+                ]
+                max_services = max(spread.max_services for spread in spreads)
                 rows.append(
                     (
                         instances,
-                        homes,
-                        "capped" if capped else "plain",
-                        SERVICES * homes / instances,
-                        min(spread.least for spread in spreads),
-                        most,
-                        most * TARGETS_PER_SERVICE,
-                        max(spread.moved for spread in spreads),
-                        max(spread.short for spread in spreads),
+                        subset_size,
+                        "bounded" if bounded else "unbounded",
+                        SERVICE_COUNT * subset_size / instances,
+                        min(spread.min_services for spread in spreads),
+                        max_services,
+                        max_services * TARGETS_PER_SERVICE,
+                        max(spread.moved_count for spread in spreads),
+                        max(spread.incomplete_count for spread in spreads),
                     )
                 )
     headers = (
         "instances",
-        "homes a service",
-        "hashing",
-        "services an instance, mean",
-        "least",
-        "most",
-        "targets an instance, most",
-        "homes moved, one replaced",
-        "services short of homes",
+        "subset size",
+        "loads",
+        "services per instance, mean",
+        "min",
+        "max",
+        "targets per instance, max",
+        "assignments moved, one replaced",
+        "services with incomplete subset",
     )
     print(tabulate(rows, headers))
 
--- a/benchmarks/hot_path.py
+++ b/benchmarks/hot_path.py
@@ -1,8 +1,8 @@
-"""Measure the time that an instance adds to a call, beside a bare relay.
+"""Measure the latency that an instance adds to a call, compared with a bare relay.
 
-Three ways take turns in each round: straight to the target, through a bare relay of
-the same libraries, and through one instance. Arrivals are on a schedule and latency
-counts from the scheduled time, so a stall is not hidden.
+Each round measures three endpoints in turn: a target, a bare relay built on the same
+libraries, and one instance. Calls are sent on a schedule and latency counts from the
+scheduled time, so that stalls are included.
 """
 
 import asyncio
@@ -30,11 +30,11 @@
 from tabulate import tabulate
 
 FLAGS = flags.FLAGS
-flags.DEFINE_list("rates", ["100", "300", "600"], "Calls a second.")
+flags.DEFINE_list("rates", ["100", "300", "600"], "Calls per second.")
 flags.DEFINE_integer("rounds", 5, "Interleaved rounds.")
-flags.DEFINE_float("round_s", 4.0, "Length of one way's turn.")
-flags.DEFINE_integer("targets", 8, "Target stand-ins.")
-flags.DEFINE_string("out", "", "File for results as JSON lines.")
+flags.DEFINE_float("round_s", 4.0, "Duration of one measurement.")
+flags.DEFINE_integer("targets", 8, "Number of target stand-ins.")
+flags.DEFINE_string("out", "", "File for results as JSON Lines.")
 
 HOST = "127.0.0.1"
 SLOTS = 64
@@ -44,12 +44,12 @@
 US_PER_MS = 1_000
 HISTOGRAM_LIMIT_US = 60 * US_PER_S
 MS_PER_S = 1_000
-WAYS = ("direct", "bare relay", "instance")
+ENDPOINT_NAMES = ("direct", "bare relay", "instance")
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
-    """Name an address to send to and the process that serves it."""
+class Endpoint:
+    """Represent an address to send calls to and the process that serves it."""
 
     name: str
     address: str
@@ -57,8 +57,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
-    """Hold what one turn of one way gave."""
+class Measurement:
+    """Represent the results of one endpoint, named by `way`, in one round."""
 
     way: str
     rate_per_s: float
@@ -69,48 +69,52 @@
     failed: int
 
 
-async def _call(session, url: str, due_s: float, histogram) -> bool:
+async def _send_call(session, url: str, scheduled_at_s: float, histogram) -> bool:
     async with session.get(url) as response:
         await response.read()
-        elapsed_s = time.monotonic() - due_s
+        elapsed_s = time.monotonic() - scheduled_at_s
         histogram.record_value(int(elapsed_s * US_PER_S))
         return response.status == 200
 
 
-def processor_s(pid: int) -> float:
-    """Return the processor time that a process has used."""
+def get_cpu_s(pid: int) -> float:
+    """Return the CPU time that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def run_turn(session, way: Way, rate_per_s, round_number) -> Turn:
-    """Send calls on a schedule and return the percentiles."""
+async def measure_endpoint(
+    session, endpoint: Endpoint, rate_per_s, round_number
+) -> Measurement:
+    """Send calls on a schedule and return latency and CPU time."""
     histogram = HdrHistogram(1, HISTOGRAM_LIMIT_US, 3)
-    before_s = processor_s(way.pid)
+    cpu_before_s = get_cpu_s(endpoint.pid)
     calls = []
-    start_s = time.monotonic()
+    started_at_s = time.monotonic()
     for number in range(int(rate_per_s * FLAGS.round_s)):
-        due_s = start_s + number / rate_per_s
-        delay_s = due_s - time.monotonic()
+        scheduled_at_s = started_at_s + number / rate_per_s
+        delay_s = scheduled_at_s - time.monotonic()
         if delay_s > 0:
             await asyncio.sleep(delay_s)
-        url = f"http://{way.address}/menu/{number}"
-        calls.append(asyncio.ensure_future(_call(session, url, due_s, histogram)))
+        url = f"http://{endpoint.address}/menu/{number}"
+        calls.append(
+            asyncio.ensure_future(_send_call(session, url, scheduled_at_s, histogram))
+        )
     results = await asyncio.gather(*calls, return_exceptions=True)
-    used_ms = (processor_s(way.pid) - before_s) * MS_PER_S
-    return Turn(
-        way.name,
+    cpu_used_ms = (get_cpu_s(endpoint.pid) - cpu_before_s) * MS_PER_S
+    return Measurement(
+        endpoint.name,
         rate_per_s,
         round_number,
         histogram.get_value_at_percentile(50) / US_PER_MS,
         histogram.get_value_at_percentile(99) / US_PER_MS,
-        used_ms / len(calls),
+        cpu_used_ms / len(calls),
         sum(result is not True for result in results),
     )
 
 
 async def start_relay(target: str) -> tuple[asyncio.subprocess.Process, str]:
-    """Start the bare relay."""
+    """Start the bare relay and return its process and its address."""
     port = reserve_port(HOST)
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -121,9 +125,9 @@
     return process, f"{HOST}:{port}"
 
 
-async def measure(directory: Path) -> list[Turn]:
-    """Run all turns, interleaved."""
-    turns = []
+async def measure(directory: Path) -> list[Measurement]:
+    """Measure all endpoints at all rates, interleaved."""
+    measurements = []
     async with Fleet(directory) as fleet:
         await fleet.start_platform(PlatformOptions())
         options = TargetOptions(slots=SLOTS, service_ms=SERVICE_MS)
@@ -135,10 +139,10 @@
         await Operator(fleet.rotation).publish(change)
         relay, relay_address = await start_relay(members[0].address)
         await asyncio.sleep(SETTLE_S)
-        ways = (
-            Way("direct", members[0].address, members[0].child.process.pid),
-            Way("bare relay", relay_address, relay.pid),
-            Way("instance", instance.caller_address, instance.child.process.pid),
+        endpoints = (
+            Endpoint("direct", members[0].address, members[0].child.process.pid),
+            Endpoint("bare relay", relay_address, relay.pid),
+            Endpoint("instance", instance.caller_address, instance.child.process.pid),
         )
         try:
             async with aiohttp.ClientSession(
@@ -146,52 +150,64 @@
             ) as session:
                 for rate in FLAGS.rates:
                     for number in range(FLAGS.rounds):
-                        for way in ways:
-                            turn = await run_turn(session, way, float(rate), number)
-                            turns.append(turn)
+                        for endpoint in endpoints:
+                            measurement = await measure_endpoint(
+                                session, endpoint, float(rate), number
+                            )
+                            measurements.append(measurement)
         finally:
             relay.terminate()
             await relay.wait()
-    return turns
+    return measurements
 
 
-def _spread(values: list[float]) -> str:
+def _format_range(values: list[float]) -> str:
     low, high = min(values), max(values)
     return f"{statistics.median(values):.2f} [{low:.2f}, {high:.2f}]"
 
 
-def show(turns: list[Turn]) -> None:
-    """Print medians over the rounds, with their least and greatest values."""
+def print_table(measurements: list[Measurement]) -> None:
+    """Print medians over the rounds, with minimum and maximum."""
     rows = []
     for rate in FLAGS.rates:
-        rounds = {way: [] for way in WAYS}
-        for turn in turns:
-            if turn.rate_per_s == float(rate):
-                rounds[turn.way].append(turn)
+        rounds = {name: [] for name in ENDPOINT_NAMES}
+        for measurement in measurements:
+            if measurement.rate_per_s == float(rate):
+                rounds[measurement.way].append(measurement)
         direct = rounds["direct"]
-        for way in WAYS:
-            own = rounds[way]
+        for name in ENDPOINT_NAMES:
+            own = rounds[name]
             pairs = list(zip(own, direct, strict=True))
             rows.append(
                 (
                     rate,
-                    way,
-                    _spread([turn.p50_ms for turn in own]),
-                    _spread([turn.p99_ms for turn in own]),
-                    _spread([turn.p50_ms - base.p50_ms for turn, base in pairs]),
-                    _spread([turn.p99_ms - base.p99_ms for turn, base in pairs]),
-                    _spread([turn.cpu_ms_per_call for turn in own]),
-                    sum(turn.failed for turn in own),
+                    name,
+                    _format_range([measurement.p50_ms for measurement in own]),
+                    _format_range([measurement.p99_ms for measurement in own]),
+                    _format_range(
+                        [
+                            measurement.p50_ms - base.p50_ms
+                            for measurement, base in pairs
+                        ]
+                    ),
+                    _format_range(
+                        [
+                            measurement.p99_ms - base.p99_ms
+                            for measurement, base in pairs
+                        ]
+                    ),
+                    _format_range([measurement.cpu_ms_per_call for measurement in own]),
+                    sum(measurement.failed for measurement in own),
                 )
             )
     headers = (
         "calls/s",
-        "way",
-        "p50",
-        "p99",
-        "added p50",
-        "added p99",
-        "cpu ms",
+        "endpoint",
+        "p50 ms",
+        "p99 ms",
+        "added p50 ms",
+        "added p99 ms",
+        "CPU ms/call",
         "failed",
     )
     print(tabulate(rows, headers))
@@ -199,12 +215,14 @@
 
 def _main(argv: list[str]) -> None:
     with tempfile.TemporaryDirectory() as directory:
-        turns = uvloop.run(measure(Path(directory)))
-    show(turns)
+        measurements = uvloop.run(measure(Path(directory)))
+    print_table(measurements)
     if FLAGS.out:
         lines = (
-            json.dumps({name: getattr(turn, name) for name in Turn.__slots__})
-            for turn in turns
+            json.dumps(
+                {name: getattr(measurement, name) for name in Measurement.__slots__}
+            )
+            for measurement in measurements
         )
         Path(FLAGS.out).write_text("\n".join(lines) + "\n")
 
--- a/conftest.py
+++ b/conftest.py
@@ -1,17 +1,17 @@
-"""Passing over of the tests that KNOWN-RED.txt lists, which it prints."""
+"""Pytest hooks that mark and print the expected failures listed in KNOWN-RED.txt."""
 
 from pathlib import Path
 
 import pytest
 
 KNOWN_RED_PATH = Path(__file__).parent / "KNOWN-RED.txt"
-# Tests that fail each time, and tests that were seen to fail without a known cause.
-ENTRY_PREFIX = "test:"
-RARE_PREFIX = "rare:"
+# Tests that always fail, and tests that failed at least once for an unknown reason.
+CONSISTENT_FAILURE_PREFIX = "test:"
+INTERMITTENT_FAILURE_PREFIX = "rare:"
 
 
-def known_red_tests(prefix: str) -> set[str]:
-    """Return the names of the listed tests of a kind; none if there is no list."""
+def read_known_red_tests(prefix: str) -> set[str]:
+    """Return the listed tests with this prefix, or none if there is no list."""
     if not KNOWN_RED_PATH.exists():
         return set()
     lines = KNOWN_RED_PATH.read_text().splitlines()
@@ -20,20 +20,24 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Expect the listed tests to fail; one that passes must leave the list.
+    """Mark the listed tests as expected failures.
 
-    A rare failure is expected without being required.
+    A consistent failure must be removed from the list when the test passes; a test that
+    fails intermittently may also pass.
     """
-    known_red = known_red_tests(ENTRY_PREFIX)
-    rare = known_red_tests(RARE_PREFIX)
+    consistent = read_known_red_tests(CONSISTENT_FAILURE_PREFIX)
+    intermittent = read_known_red_tests(INTERMITTENT_FAILURE_PREFIX)
     for item in items:
-        if item.nodeid in known_red | rare:
-            strict = item.nodeid in known_red
+        if item.nodeid in consistent | intermittent:
+            strict = item.nodeid in consistent
             mark = pytest.mark.xfail(reason="listed in KNOWN-RED.txt", strict=strict)
             item.add_marker(mark)
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
     """Print the listed tests."""
-    for name in sorted(known_red_tests(ENTRY_PREFIX) | known_red_tests(RARE_PREFIX)):
+    for name in sorted(
+        read_known_red_tests(CONSISTENT_FAILURE_PREFIX)
+        | read_known_red_tests(INTERMITTENT_FAILURE_PREFIX)
+    ):
         terminalreporter.write_line(f"known red, see KNOWN-RED.txt: {name}")
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,4 +1,4 @@
-"""Run three instances with stand-ins at the true sizes, and judge what happened."""
+"""Run three instances with realistic numbers of targets and check the outcomes."""
 
 import asyncio
 import json
@@ -34,10 +34,10 @@
 SERVICES_DIRECTORY = Path(__file__).parent / "services"
 ZONES = ("sapporo", "asahikawa", "hakodate")
 WARM_UP_S = 3.0
-LOAD_S = 8.0
+LOAD_DURATION_S = 8.0
 OUTAGE_WAIT_S = 3.0
 OUTAGE_CALLS = 20
-REFUSAL_LIMIT_MS = 50.0
+MAX_REFUSAL_TIME_MS = 50.0
 US_PER_S = 1_000_000
 MS_PER_S = 1_000
 US_PER_MS = 1_000
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceLoad:
-    """Say how many targets a service has and how it is called."""
+    """Describe the targets of a service and the calls sent to it."""
 
     service_id: str
     targets_per_zone: tuple[int, int, int]
@@ -54,17 +54,17 @@
     repeats: int
 
 
-LOADS = (
+SERVICE_LOADS = (
     ServiceLoad("menu", (4, 4, 4), 60.0, idempotent=True, repeats=1),
     ServiceLoad("fees", (3, 3, 2), 8.0, idempotent=False, repeats=3),
     ServiceLoad("orders", (2, 2, 2), 15.0, idempotent=False, repeats=3),
 )
 
 
-async def start(fleet: Fleet) -> None:
-    """Start the stand-ins and an instance in each zone."""
+async def start_fleet(fleet: Fleet) -> None:
+    """Start the stand-ins, and one instance in each zone."""
     await fleet.start_platform(PlatformOptions())
-    for load in LOADS:
+    for load in SERVICE_LOADS:
         for zone, count in zip(ZONES, load.targets_per_zone, strict=True):
             prefix = f"{load.service_id}-{zone}"
             await fleet.start_targets(prefix, count, zone, TargetOptions())
@@ -76,16 +76,16 @@
     """Publish a service with its targets through the operators' command line."""
     service = json.loads((SERVICES_DIRECTORY / f"{load.service_id}.json").read_text())
     service["targets"] = [
-        _describe(member)
+        _build_target(member)
         for member in fleet.targets.values()
         if member.target_id.startswith(f"{load.service_id}-")
     ]
     path = fleet.directory / f"{load.service_id}.json"
     path.write_text(json.dumps(service))
-    print(await baobabctl(fleet, "service", "put", str(path)), end="")
+    print(await run_baobabctl(fleet, "service", "put", str(path)), end="")
 
 
-def _describe(member: TargetMember) -> dict:
+def _build_target(member: TargetMember) -> dict:
     return {
         "target_id": member.target_id,
         "address": member.address,
@@ -95,7 +95,7 @@
     }
 
 
-async def baobabctl(fleet: Fleet, *arguments: str) -> str:
+async def run_baobabctl(fleet: Fleet, *arguments: str) -> str:
     """Run the operators' command line against the first instance."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -107,32 +107,34 @@
     )
     output, _ = await process.communicate()
     if process.returncode:
-        raise RuntimeError(f"baobabctl {arguments} ended with {process.returncode}")
+        raise RuntimeError(
+            f"baobabctl {arguments} exited with code {process.returncode}"
+        )
     return output.decode()
 
 
 async def send_load(caller: HistoryCaller, load: ServiceLoad, until_s: float) -> None:
-    """Send calls on a schedule; some of those with a key go out twice at once."""
-    calls = set()
+    """Send calls on a schedule; send every tenth call with a key twice concurrently."""
+    call_tasks = set()
     count = 0
     next_s = time.monotonic()
     while time.monotonic() < until_s:
         count += 1
         call = make_call(f"/{load.service_id}", idempotent=load.idempotent)
         if not load.idempotent and count % 10 == 0:
-            sending = caller.call_twice_at_once(call, load.repeats)
+            coroutine = caller.call_twice_at_once(call, load.repeats)
         else:
-            sending = caller.call(call, load.repeats)
-        calls.add(asyncio.ensure_future(sending))
+            coroutine = caller.call(call, load.repeats)
+        call_tasks.add(asyncio.ensure_future(coroutine))
         next_s += 1.0 / load.calls_per_s
         await asyncio.sleep(max(0.0, next_s - time.monotonic()))
-    await asyncio.gather(*calls)
+    await asyncio.gather(*call_tasks)
 
 
-def show(callers: Iterable[HistoryCaller]) -> None:
+def print_results(callers: Iterable[HistoryCaller]) -> None:
     """Print outcomes and latency for each service."""
     rows = []
-    for load, caller in zip(LOADS, callers, strict=True):
+    for load, caller in zip(SERVICE_LOADS, callers, strict=True):
         sent_at_s = {}
         outcomes: dict[str, int] = {}
         histogram = HdrHistogram(1, 60 * US_PER_S, 3)
@@ -157,8 +159,10 @@
     print(tabulate(rows, headers, floatfmt=".1f"))
 
 
-async def refuse_during_outage(fleet: Fleet, refusal_limit_ms: float) -> list[Finding]:
-    """Send orders while the log is down; each must be refused at once."""
+async def check_outage_refusals(
+    fleet: Fleet, max_refusal_time_ms: float
+) -> list[Finding]:
+    """Send orders while the log is down; find any that ran or were refused late."""
     await fleet.put_faults(fleet.platform.address, {"outage": True})
     await asyncio.sleep(OUTAGE_WAIT_S)
     findings = []
@@ -178,7 +182,7 @@
                 if outcome != "not-run" or "Retry-After" not in response.headers:
                     findings.append(Finding("outage", call.call_id, outcome))
     await fleet.put_faults(fleet.platform.address, {"outage": False})
-    if slowest_ms > refusal_limit_ms:
+    if slowest_ms > max_refusal_time_ms:
         findings.append(Finding("outage", "refusal", f"took {slowest_ms:.0f} ms"))
     for entry in await read_journals(fleet):
         if entry.request_id in request_ids:
@@ -187,7 +191,9 @@
     return findings
 
 
-async def judge(fleet: Fleet, callers: Iterable[HistoryCaller]) -> list[Finding]:
+async def check_histories(
+    fleet: Fleet, callers: Iterable[HistoryCaller]
+) -> list[Finding]:
     """Check the histories against the journals of the targets."""
     history = [event for caller in callers for event in caller.history]
     entries = await read_journals(fleet)
@@ -196,20 +202,20 @@
         *check_not_run_outcomes(history, entries),
         *check_response_integrity(history),
         *check_every_call_has_outcome(history),
-        *_find_missing(history, entries),
+        *_find_keys_not_run(history, entries),
     ]
 
 
 async def read_journals(fleet: Fleet) -> list[JournalEntry]:
-    """Return what ran at any target."""
+    """Return the journal entries of all targets."""
     entries = []
     for target in fleet.targets.values():
         entries += await fleet.journal(target)
     return entries
 
 
-def _find_missing(history, entries) -> list[Finding]:
-    """Find keys that never ran although nothing failed."""
+def _find_keys_not_run(history, entries) -> list[Finding]:
+    """Find keys that never ran, which is an error since no fault was injected."""
     keys = {event.key for event in history if isinstance(event, Invoked) and event.key}
     ran = {entry.key for entry in entries}
     return [Finding("ran once", f"key {key}", "never ran") for key in keys - ran]
@@ -217,28 +223,30 @@
 
 async def run_demo(
     directory: Path,
-    load_s: float = LOAD_S,
-    refusal_limit_ms: float = REFUSAL_LIMIT_MS,
+    load_duration_s: float = LOAD_DURATION_S,
+    max_refusal_time_ms: float = MAX_REFUSAL_TIME_MS,
 ) -> int:
-    """Run the whole demonstration and return the exit code."""
+    """Run the demonstration and return the exit code."""
     async with Fleet(directory) as fleet:
-        await start(fleet)
-        for load in LOADS:
+        await start_fleet(fleet)
+        for load in SERVICE_LOADS:
             await publish(fleet, load)
         await asyncio.sleep(WARM_UP_S)
-        print(await baobabctl(fleet, "instance", "list"))
-        callers = [HistoryCaller(fleet.rotation, seed) for seed in range(len(LOADS))]
-        until_s = time.monotonic() + load_s
+        print(await run_baobabctl(fleet, "instance", "list"))
+        callers = [
+            HistoryCaller(fleet.rotation, seed) for seed in range(len(SERVICE_LOADS))
+        ]
+        until_s = time.monotonic() + load_duration_s
         async with callers[0], callers[1], callers[2]:
             await asyncio.gather(
                 *(
                     send_load(caller, load, until_s)
-                    for caller, load in zip(callers, LOADS, strict=True)
+                    for caller, load in zip(callers, SERVICE_LOADS, strict=True)
                 )
             )
-        show(callers)
-        findings = await judge(fleet, callers)
-        findings += await refuse_during_outage(fleet, refusal_limit_ms)
+        print_results(callers)
+        findings = await check_histories(fleet, callers)
+        findings += await check_outage_refusals(fleet, max_refusal_time_ms)
     for finding in findings:
         print(finding)
     ran_once = "every order and payment ran exactly once"
--- a/examples/tests/test_demo.py
+++ b/examples/tests/test_demo.py
@@ -1,10 +1,10 @@
-"""Test that the demonstration runs through, in a short form without its timing."""
+"""Test a short run of the demonstration without a limit on refusal times."""
 
 import importlib.util
 from pathlib import Path
 
-LOAD_S = 2.0
-NO_LIMIT_MS = float("inf")
+LOAD_DURATION_S = 2.0
+UNLIMITED_MS = float("inf")
 DEMO_PATH = Path(__file__).parent.parent / "demo.py"
 
 
@@ -17,6 +17,6 @@
 
 
 async def test_demonstration_has_no_findings(tmp_path, capsys):
-    exit_code = await load_demo().run_demo(tmp_path, LOAD_S, NO_LIMIT_MS)
+    exit_code = await load_demo().run_demo(tmp_path, LOAD_DURATION_S, UNLIMITED_MS)
     assert exit_code == 0, capsys.readouterr().out
     assert "every order and payment ran exactly once" in capsys.readouterr().out
