--- a/benchmarks/capacity_instances.py
+++ b/benchmarks/capacity_instances.py
@@ -122,7 +122,7 @@
     """Start instances and publish one service."""
     for number in range(instances):
         await fleet.start_instance(f"zone-{number % 3}")
-    operator = Operator(fleet.rotation)
+    operator = Operator(fleet.get_rotation)
     await operator.publish(put_service("menu", PATH_PREFIX, key_rule, 1, targets))
     await asyncio.sleep(SETTLE_S)
 
--- a/benchmarks/fleet_tail.py
+++ b/benchmarks/fleet_tail.py
@@ -116,7 +116,7 @@
 async def stop_instances(fleet: Fleet, members: list[InstanceMember]) -> None:
     """Stop the instances and wait until they expire from the platform's list."""
     for member in members:
-        member.in_rotation = False
+        member.is_in_rotation = False
     await asyncio.gather(*(member.child.stop() for member in members))
     await asyncio.sleep(LIST_EXPIRY_S + SETTLE_S)
 
@@ -253,7 +253,7 @@
         await fleet.start_platform(PlatformOptions(list_expiry_ms=1000 * LIST_EXPIRY_S))
         targets = await start_targets(fleet)
         first_instance = await fleet.start_instance(ZONES[0])
-        operator = Operator(fleet.rotation)
+        operator = Operator(fleet.get_rotation)
         await operator.publish(put_service(SERVICE_ID, PREFIX, "none", 1, targets))
         await stop_instances(fleet, [first_instance])
         for round_number in range(FLAGS.rounds):
--- a/benchmarks/fleet_zone_move.py
+++ b/benchmarks/fleet_zone_move.py
@@ -67,7 +67,7 @@
             zone, FLAGS.targets_per_zone, zone, options
         )
     await start_instances_across_zones(fleet, FLAGS.instances, ZONES)
-    operator = Operator(fleet.rotation)
+    operator = Operator(fleet.get_rotation)
     await operator.publish(put_service("menu", "/menu", "none", 1, targets))
     await asyncio.sleep(SETTLE_S)
     return operator
@@ -91,7 +91,7 @@
         await asyncio.sleep(started_at_s + second - time.monotonic())
         seed = 1_000 * round_number + second
         load = Load("/menu", compute_calls_per_s(), 1.0, DEADLINE_MS, seed)
-        load_tasks.append(asyncio.ensure_future(send_load(load, fleet.rotation())))
+        load_tasks.append(asyncio.ensure_future(send_load(load, fleet.get_rotation())))
     results = await asyncio.gather(*load_tasks)
     await move_task
     return results
--- a/benchmarks/hot_path.py
+++ b/benchmarks/hot_path.py
@@ -136,7 +136,7 @@
             members += await fleet.start_targets("menu", 4, "sapporo", options)
         instance = await fleet.start_instance("sapporo")
         change = put_service("menu", "/menu", "none", 1, members)
-        await Operator(fleet.rotation).publish(change)
+        await Operator(fleet.get_rotation).publish(change)
         relay, relay_address = await start_relay(members[0].address)
         await asyncio.sleep(SETTLE_S)
         endpoints = (
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -25,7 +25,7 @@
     Returned,
     TargetMember,
     TargetOptions,
-    make_call,
+    create_call,
 )
 from baobabstandins.target import JournalEntry
 from hdrh.histogram import HdrHistogram
@@ -120,9 +120,9 @@
     next_s = time.monotonic()
     while time.monotonic() < until_s:
         count += 1
-        call = make_call(f"/{load.service_id}", idempotent=load.idempotent)
+        call = create_call(f"/{load.service_id}", idempotent=load.idempotent)
         if not load.idempotent and count % 10 == 0:
-            coroutine = caller.call_twice_at_once(call, load.repeats)
+            coroutine = caller.call_concurrently(call, load.repeats)
         else:
             coroutine = caller.call(call, load.repeats)
         call_tasks.add(asyncio.ensure_future(coroutine))
@@ -170,7 +170,7 @@
     slowest_ms = 0.0
     async with aiohttp.ClientSession() as session:
         for _ in range(OUTAGE_CALLS):
-            call = make_call("/orders", idempotent=False)
+            call = create_call("/orders", idempotent=False)
             sent_s = time.monotonic()
             url = f"http://{fleet.instances[0].caller_address}{call.path}"
             headers = {"Idempotency-Key": call.key}
@@ -210,7 +210,7 @@
     """Return the journal entries of all targets."""
     entries = []
     for target in fleet.targets.values():
-        entries += await fleet.journal(target)
+        entries += await fleet.get_journal(target)
     return entries
 
 
@@ -234,7 +234,8 @@
         await asyncio.sleep(WARM_UP_S)
         print(await run_baobabctl(fleet, "instance", "list"))
         callers = [
-            HistoryCaller(fleet.rotation, seed) for seed in range(len(SERVICE_LOADS))
+            HistoryCaller(fleet.get_rotation, seed)
+            for seed in range(len(SERVICE_LOADS))
         ]
         until_s = time.monotonic() + load_duration_s
         async with callers[0], callers[1], callers[2]:
--- a/packages/baobabstandins/baobabstandins/checker/__init__.py
+++ b/packages/baobabstandins/baobabstandins/checker/__init__.py
@@ -24,16 +24,16 @@
 __all__ = [
     "Finding",
     "TargetRecord",
-    "check_no_conflicting_changes",
     "check_cold_limit",
     "check_configuration_applied",
     "check_configuration_never_reverts",
     "check_every_call_has_outcome",
     "check_no_call_lost",
+    "check_no_conflicting_changes",
     "check_no_new_calls",
     "check_not_run_outcomes",
-    "check_response_integrity",
     "check_probe_budget",
+    "check_response_integrity",
     "check_runs_at_most_once",
     "check_share_completed",
 ]
--- a/packages/baobabstandins/baobabstandins/checker/_calls.py
+++ b/packages/baobabstandins/baobabstandins/checker/_calls.py
@@ -66,8 +66,8 @@
         Finding(
             "own whole answers", f"call {call_id}", "repeats got different responses"
         )
-        for call_id, seen in digests.items()
-        if len(seen) > 1
+        for call_id, call_digests in digests.items()
+        if len(call_digests) > 1
     ]
 
 
--- a/packages/baobabstandins/baobabstandins/checker/_configuration.py
+++ b/packages/baobabstandins/baobabstandins/checker/_configuration.py
@@ -3,7 +3,7 @@
 from collections import Counter, defaultdict
 
 from baobabstandins.checker._findings import Finding
-from baobabstandins.fleet import ChangeAccepted, ConfigurationSeen
+from baobabstandins.fleet import ChangeAccepted, ObservedConfiguration
 
 
 def check_no_conflicting_changes(accepted: list[ChangeAccepted]) -> list[Finding]:
@@ -17,38 +17,44 @@
     ]
 
 
-def check_configuration_never_reverts(seen: list[ConfigurationSeen]) -> list[Finding]:
+def check_configuration_never_reverts(
+    observed: list[ObservedConfiguration],
+) -> list[Finding]:
     """Find instances that returned an older revision, and revisions that differ."""
     findings = []
     newest_revision: dict[str, int] = defaultdict(int)
     digests: dict[int, str] = {}
-    for view in sorted(seen, key=lambda view: view.requested_at_s):
-        if view.revision < newest_revision[view.instance_id]:
+    for sample in sorted(observed, key=lambda sample: sample.requested_at_s):
+        if sample.revision < newest_revision[sample.instance_id]:
             problem = (
-                f"{newest_revision[view.instance_id]} went back to {view.revision}"
+                f"{newest_revision[sample.instance_id]} went back to {sample.revision}"
             )
-            findings.append(_create_revert_finding(view.instance_id, problem))
-        newest_revision[view.instance_id] = max(
-            newest_revision[view.instance_id], view.revision
+            findings.append(_create_revert_finding(sample.instance_id, problem))
+        newest_revision[sample.instance_id] = max(
+            newest_revision[sample.instance_id], sample.revision
         )
-        if digests.setdefault(view.revision, view.digest) != view.digest:
+        if digests.setdefault(sample.revision, sample.digest) != sample.digest:
             findings.append(
-                _create_revert_finding(view.instance_id, f"{view.revision} differs")
+                _create_revert_finding(sample.instance_id, f"{sample.revision} differs")
             )
     return findings
 
 
 def check_configuration_applied(
-    seen: list[ConfigurationSeen], accepted: list[ChangeAccepted], grace_s: float
+    observed: list[ObservedConfiguration],
+    accepted: list[ChangeAccepted],
+    grace_s: float,
 ) -> list[Finding]:
     """Find instances that returned an older revision `grace_s` after a change."""
     findings = []
-    for view in seen:
-        due = [c.revision for c in accepted if c.at_s + grace_s < view.requested_at_s]
-        if due and view.revision < max(due):
-            problem = f"returned revision {view.revision}; expected at least {max(due)}"
+    for sample in observed:
+        due = [c.revision for c in accepted if c.at_s + grace_s < sample.requested_at_s]
+        if due and sample.revision < max(due):
+            problem = (
+                f"returned revision {sample.revision}; expected at least {max(due)}"
+            )
             findings.append(
-                Finding("configuration in force", view.instance_id, problem)
+                Finding("configuration in force", sample.instance_id, problem)
             )
     return findings
 
--- a/packages/baobabstandins/baobabstandins/checker/_findings.py
+++ b/packages/baobabstandins/baobabstandins/checker/_findings.py
@@ -5,7 +5,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """Represent the violation of an invariant, where and how it occurred."""
+    """Represent the violation of an invariant, where and how it occurred.
+
+    Invariants that a scenario can expect are named like its `expect` statements.
+    """
 
     invariant: str
     place: str
--- a/packages/baobabstandins/baobabstandins/checker/_targets.py
+++ b/packages/baobabstandins/baobabstandins/checker/_targets.py
@@ -18,7 +18,7 @@
 
 
 def check_no_new_calls(
-    record: TargetRecord, left_at_s: float, grace_s: float, back_at_s: float
+    record: TargetRecord, removed_at_s: float, grace_s: float, returned_at_s: float
 ) -> list[Finding]:
     """Find calls that a target started while it was removed from service.
 
@@ -27,13 +27,14 @@
     late = [
         entry
         for entry in record.entries
-        if left_at_s + grace_s < entry.started_at_s < back_at_s
+        if removed_at_s + grace_s < entry.started_at_s < returned_at_s
     ]
     return [
         Finding(
-            "no new work after leaving",
+            "no new calls after removal",
             record.target_id,
-            f"{entry.request_id} started {entry.started_at_s - left_at_s:.3f} s after",
+            f"{entry.request_id} started "
+            f"{entry.started_at_s - removed_at_s:.3f} s after",
         )
         for entry in late
     ]
--- a/packages/baobabstandins/baobabstandins/checker/tests/test_targets.py
+++ b/packages/baobabstandins/baobabstandins/checker/tests/test_targets.py
@@ -17,7 +17,9 @@
 
 
 def test_calls_after_the_grace_period_are_found():
-    findings = check_no_new_calls(record(11.0, 13.5, 20.0), 10.0, 3.0, back_at_s=19.0)
+    findings = check_no_new_calls(
+        record(11.0, 13.5, 20.0), 10.0, 3.0, returned_at_s=19.0
+    )
     assert [finding.problem for finding in findings] == ["r started 3.500 s after"]
 
 
--- a/packages/baobabstandins/baobabstandins/fleet/__init__.py
+++ b/packages/baobabstandins/baobabstandins/fleet/__init__.py
@@ -1,6 +1,6 @@
 """Test harness that runs a fleet of processes and records the calls to it."""
 
-from baobabstandins.fleet._caller import Call, HistoryCaller, make_call
+from baobabstandins.fleet._caller import Call, HistoryCaller, create_call
 from baobabstandins.fleet._changes import (
     drain_target,
     put_service,
@@ -14,9 +14,9 @@
     CallerDisconnected,
     CallEvent,
     ChangeAccepted,
-    ConfigurationSeen,
     Invoked,
     Lost,
+    ObservedConfiguration,
     ReportedOutcome,
     Returned,
 )
@@ -33,27 +33,27 @@
 __all__ = [
     "Call",
     "CallEvent",
+    "CallerDisconnected",
     "Change",
     "ChangeAccepted",
     "ChildError",
     "ChildProcess",
-    "ConfigurationSeen",
     "Fleet",
     "HistoryCaller",
     "InstanceMember",
     "Invoked",
-    "CallerDisconnected",
     "Lost",
+    "ObservedConfiguration",
     "Operator",
     "PlatformMember",
     "PlatformOptions",
     "PublishError",
-    "Returned",
     "ReportedOutcome",
+    "Returned",
     "TargetMember",
     "TargetOptions",
+    "create_call",
     "drain_target",
-    "make_call",
     "put_service",
     "put_target",
     "remove_target",
--- a/packages/baobabstandins/baobabstandins/fleet/_caller.py
+++ b/packages/baobabstandins/baobabstandins/fleet/_caller.py
@@ -21,6 +21,7 @@
 from baobabstandins.fleet._members import InstanceMember
 from baobabstandins.target import check_response
 
+# Time after the deadline until a caller stops waiting for the response.
 RESPONSE_MARGIN_S = 2.0
 REPEAT_DELAY_S = 0.5
 DISCONNECT_AFTER_S = 0.03
@@ -42,11 +43,11 @@
     deadline_ms: int
 
 
-def make_call(
+def create_call(
     prefix: str,
     *,
     idempotent: bool,
-    key_sent: bool = True,
+    send_key: bool = True,
     tenant: str = "default",
     deadline_ms: int = 3000,
 ) -> Call:
@@ -57,7 +58,7 @@
         method="GET" if idempotent else "POST",
         path=f"{prefix}/{call_id}",
         body=b"" if idempotent else call_id.encode(),
-        key=str(uuid_utils.uuid7()) if key_sent and not idempotent else "",
+        key=str(uuid_utils.uuid7()) if send_key and not idempotent else "",
         tenant=tenant,
         deadline_ms=deadline_ms,
     )
@@ -107,7 +108,7 @@
             if not isinstance(event, CallerDisconnected):
                 await asyncio.sleep(REPEAT_DELAY_S)
 
-    async def call_twice_at_once(self, call: Call, repeats: int) -> None:
+    async def call_concurrently(self, call: Call, repeats: int) -> None:
         """Send a call through two instances at once, then repeat it until completed."""
         first = await self._choose_instance(set())
         second = await self._choose_instance({first.instance_id})
--- a/packages/baobabstandins/baobabstandins/fleet/_changes.py
+++ b/packages/baobabstandins/baobabstandins/fleet/_changes.py
@@ -35,7 +35,7 @@
         service_id=service_id,
         path_prefix=prefix,
         rules=[rule],
-        targets=[_create_target(member) for member in targets],
+        targets=[_create_target_message(member) for member in targets],
         cold_limit=cold_limit,
     )
     request = operators_pb2.PutServiceRequest(service=service)
@@ -51,7 +51,7 @@
 def put_target(service_id: str, member: TargetMember) -> Change:
     """Return the change that adds a target to a service."""
     request = operators_pb2.PutTargetRequest(
-        service_id=service_id, target=_create_target(member)
+        service_id=service_id, target=_create_target_message(member)
     )
     return Change(f"put target {member.target_id}", "PutTarget", request)
 
@@ -74,7 +74,7 @@
     return Change(f"drain target {target_id}", "SetTargetState", request)
 
 
-def _create_target(member: TargetMember) -> operators_pb2.Target:
+def _create_target_message(member: TargetMember) -> operators_pb2.Target:
     return operators_pb2.Target(
         target_id=member.target_id,
         address=member.address,
--- a/packages/baobabstandins/baobabstandins/fleet/_children.py
+++ b/packages/baobabstandins/baobabstandins/fleet/_children.py
@@ -11,7 +11,7 @@
 
 
 class ChildError(Exception):
-    """Report that a child process ended, wrote no output or did not become ready."""
+    """Report that a child process exited, wrote no output or did not become ready."""
 
 
 class ChildProcess:
@@ -46,26 +46,26 @@
             raise ChildError(f"no line on standard output; log: {self.read_log()}")
         return line.decode().rstrip("\n")
 
-    def send(self, number: signal.Signals) -> None:
-        """Send a signal, unless the process has ended."""
+    def send_signal(self, signal_number: signal.Signals) -> None:
+        """Send a signal, unless the process has exited."""
         if self.is_running:
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
 
     async def wait_for_exit(self) -> int:
-        """Wait until the process ends and return its exit code."""
+        """Wait until the process exits and return its exit code."""
         return await self.process.wait()
 
     async def stop(self) -> None:
         """Terminate the process; kill it after `TERMINATION_TIMEOUT_S`."""
-        self.send(signal.SIGCONT)
-        self.send(signal.SIGTERM)
+        self.send_signal(signal.SIGCONT)
+        self.send_signal(signal.SIGTERM)
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self.process.wait(), TERMINATION_TIMEOUT_S)
         await self.kill()
 
     async def kill(self) -> None:
-        """Kill the process and wait until it has ended."""
-        self.send(signal.SIGKILL)
+        """Kill the process and wait until it has exited."""
+        self.send_signal(signal.SIGKILL)
         await self.process.wait()
 
     def read_log(self) -> str:
--- a/packages/baobabstandins/baobabstandins/fleet/_fleet.py
+++ b/packages/baobabstandins/baobabstandins/fleet/_fleet.py
@@ -66,7 +66,7 @@
 
     async def start_platform(self, options: PlatformOptions) -> PlatformMember:
         """Start the platform stand-in."""
-        arguments = ["--port=0", *options.arguments()]
+        arguments = ["--port=0", *options.get_arguments()]
         child = await self._start_process(
             "baobabstandins.platform", arguments, "platform"
         )
@@ -86,7 +86,7 @@
             f"{prefix}-{number}:0:{options.slots}"
             for number in range(first, first + count)
         ]
-        arguments = ["--spec=" + ",".join(specs), *options.arguments()]
+        arguments = ["--spec=" + ",".join(specs), *options.get_arguments()]
         child = await self._start_process(
             "baobabstandins.target", arguments, f"{prefix}-{first}"
         )
@@ -101,36 +101,36 @@
     async def start_instance(self, zone: str) -> InstanceMember:
         """Start an instance and wait until it is ready."""
         member = await self._spawn_instance(zone)
-        await self._wait_ready(member)
+        await self._wait_until_ready(member)
         return member
 
     async def start_instances(self, count: int, zone: str) -> None:
         """Start instances and wait until all are ready."""
         members = [await self._spawn_instance(zone) for _ in range(count)]
-        await asyncio.gather(*(self._wait_ready(member) for member in members))
+        await asyncio.gather(*(self._wait_until_ready(member) for member in members))
 
     def kill(self, member: InstanceMember) -> None:
         """Send SIGKILL to an instance."""
-        member.disturbed = True
-        member.killed = True
-        member.child.send(signal.SIGKILL)
+        member.is_disturbed = True
+        member.is_killed = True
+        member.child.send_signal(signal.SIGKILL)
 
     def terminate(self, member: InstanceMember) -> None:
         """Send SIGTERM to an instance; it stays in rotation until it is not ready."""
-        member.child.send(signal.SIGTERM)
+        member.child.send_signal(signal.SIGTERM)
 
     def pause(self, member: InstanceMember) -> None:
         """Suspend an instance with SIGSTOP."""
-        member.disturbed = True
-        member.child.send(signal.SIGSTOP)
+        member.is_disturbed = True
+        member.child.send_signal(signal.SIGSTOP)
 
     def resume(self, member: InstanceMember) -> None:
         """Resume a paused instance."""
-        member.child.send(signal.SIGCONT)
+        member.child.send_signal(signal.SIGCONT)
 
-    def rotation(self) -> list[InstanceMember]:
+    def get_rotation(self) -> list[InstanceMember]:
         """Return the instances to which the platform's balancer would send calls."""
-        return [member for member in self.instances if member.in_rotation]
+        return [member for member in self.instances if member.is_in_rotation]
 
     async def is_ready(self, member: InstanceMember) -> bool:
         """Return whether an instance reports that it is ready."""
@@ -156,12 +156,12 @@
             if response.status != 200:
                 raise ValueError(await response.text())
 
-    async def journal(self, target: TargetMember) -> list[JournalEntry]:
+    async def get_journal(self, target: TargetMember) -> list[JournalEntry]:
         """Return the journal of a target."""
         body = await self._get(f"http://{target.address}/-/journal")
         return msgspec.json.decode(body, type=list[JournalEntry])
 
-    async def counters(self, target: TargetMember) -> Counters:
+    async def get_counters(self, target: TargetMember) -> Counters:
         """Return the counters of a target."""
         body = await self._get(f"http://{target.address}/-/counters")
         return msgspec.json.decode(body, type=Counters)
@@ -174,9 +174,9 @@
 
     async def _update_rotation(self, member: InstanceMember) -> None:
         if member.ready_at_s and member.child.is_running:
-            member.in_rotation = await self.is_ready(member)
+            member.is_in_rotation = await self.is_ready(member)
         else:
-            member.in_rotation = False
+            member.is_in_rotation = False
 
     async def _get(self, url: str) -> bytes:
         async with self._session.get(url) as response:
@@ -210,7 +210,7 @@
         self.instances.append(member)
         return member
 
-    async def _wait_ready(self, member: InstanceMember) -> None:
+    async def _wait_until_ready(self, member: InstanceMember) -> None:
         deadline_s = time.monotonic() + STARTUP_TIMEOUT_S
         while not await self.is_ready(member):
             if not member.child.is_running or time.monotonic() > deadline_s:
@@ -219,7 +219,7 @@
                 )
             await asyncio.sleep(STARTUP_POLL_INTERVAL_S)
         member.ready_at_s = time.time()
-        member.in_rotation = True
+        member.is_in_rotation = True
 
 
 def _merge_sections(
--- a/packages/baobabstandins/baobabstandins/fleet/_history.py
+++ b/packages/baobabstandins/baobabstandins/fleet/_history.py
@@ -76,7 +76,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ConfigurationSeen:
+class ObservedConfiguration:
     """Report the configuration that an instance returned.
 
     `requested_at_s` is the time before the request was sent.
--- a/packages/baobabstandins/baobabstandins/fleet/_members.py
+++ b/packages/baobabstandins/baobabstandins/fleet/_members.py
@@ -28,7 +28,7 @@
 class InstanceMember:
     """Represent one instance.
 
-    `disturbed` is set once the instance was killed or paused, since calls may
+    `is_disturbed` is set once the instance was killed or paused, since calls may
     then have lost their connections to it.
     """
 
@@ -38,9 +38,9 @@
     peer_address: str
     operator_address: str
     child: ChildProcess
-    in_rotation: bool = False
-    disturbed: bool = False
-    killed: bool = False
+    is_in_rotation: bool = False
+    is_disturbed: bool = False
+    is_killed: bool = False
     started_at_s: float = 0.0
     ready_at_s: float = 0.0
 
@@ -57,7 +57,7 @@
     cold_ms: float = 1000.0
     seed: int = 0
 
-    def arguments(self) -> list[str]:
+    def get_arguments(self) -> list[str]:
         """Return the command line flags."""
         return [
             f"--slots={self.slots}",
@@ -79,7 +79,7 @@
     appends_per_s: float = 300.0
     retention_s: float = 600.0
 
-    def arguments(self) -> list[str]:
+    def get_arguments(self) -> list[str]:
         """Return the command line flags."""
         return [
             f"--list_lag_ms={self.list_lag_ms}",
--- a/packages/baobabstandins/baobabstandins/fleet/_operator.py
+++ b/packages/baobabstandins/baobabstandins/fleet/_operator.py
@@ -9,7 +9,7 @@
 import grpc
 from baobabapi import operators_pb2, operators_pb2_grpc
 
-from baobabstandins.fleet._history import ChangeAccepted, ConfigurationSeen
+from baobabstandins.fleet._history import ChangeAccepted, ObservedConfiguration
 from baobabstandins.fleet._members import InstanceMember
 
 RPC_TIMEOUT_S = 5.0
@@ -49,7 +49,7 @@
     def __init__(self, rotation: Rotation) -> None:
         self.rotation = rotation
         self.accepted_changes: list[ChangeAccepted] = []
-        self.seen_configurations: list[ConfigurationSeen] = []
+        self.observed_configurations: list[ObservedConfiguration] = []
 
     async def publish(self, change: Change) -> int:
         """Publish a change, with retries, and return its revision."""
@@ -101,7 +101,7 @@
         )
         await asyncio.gather(*sends, return_exceptions=True)
 
-    async def sample_forever(self) -> None:
+    async def run_sampling(self) -> None:
         """Record the configuration of each instance at regular intervals."""
         while True:
             await asyncio.gather(
@@ -134,10 +134,10 @@
             listed = await _list_services(member, SAMPLE_TIMEOUT_S)
         except grpc.aio.AioRpcError:
             return
-        view = ConfigurationSeen(
+        sample = ObservedConfiguration(
             member.instance_id, listed.revision, _compute_digest(listed), requested_at_s
         )
-        self.seen_configurations.append(view)
+        self.observed_configurations.append(sample)
 
 
 async def _list_services(
--- a/packages/baobabstandins/baobabstandins/fleet/tests/test_caller.py
+++ b/packages/baobabstandins/baobabstandins/fleet/tests/test_caller.py
@@ -9,7 +9,7 @@
     Lost,
     Returned,
     TargetOptions,
-    make_call,
+    create_call,
 )
 
 
@@ -26,7 +26,7 @@
 
 async def record_history(member, **options):
     async with HistoryCaller(lambda: [member], seed=1) as caller:
-        await caller.call(make_call("/orders", idempotent=False), **options)
+        await caller.call(create_call("/orders", idempotent=False), **options)
     return caller.history
 
 
--- a/packages/baobabstandins/baobabstandins/fleet/tests/test_fleet.py
+++ b/packages/baobabstandins/baobabstandins/fleet/tests/test_fleet.py
@@ -9,7 +9,7 @@
         await fleet.put_faults(platform.address, {"outage": True})
         targets = await fleet.start_targets("orders", 2, "sapporo", TargetOptions())
         assert [target.target_id for target in targets] == ["orders-1", "orders-2"]
-        assert await fleet.journal(targets[1]) == []
+        assert await fleet.get_journal(targets[1]) == []
     assert not platform.child.is_running
     assert not targets[0].child.is_running
 
--- a/packages/baobabstandins/baobabstandins/platform/__init__.py
+++ b/packages/baobabstandins/baobabstandins/platform/__init__.py
@@ -3,7 +3,7 @@
 from baobabstandins.platform._faults import PlatformFaults
 from baobabstandins.platform._instances import InstanceEntry, LaggedInstanceList
 from baobabstandins.platform._log import Log, Record, TokenBucket
-from baobabstandins.platform._server import PlatformServer, make_platform
+from baobabstandins.platform._server import PlatformServer, create_platform
 
 __all__ = [
     "InstanceEntry",
@@ -13,5 +13,5 @@
     "PlatformServer",
     "Record",
     "TokenBucket",
-    "make_platform",
+    "create_platform",
 ]
--- a/packages/baobabstandins/baobabstandins/platform/__main__.py
+++ b/packages/baobabstandins/baobabstandins/platform/__main__.py
@@ -5,7 +5,7 @@
 from absl import app, flags
 
 from baobabstandins._serving import start_site, wait_for_stop_signal
-from baobabstandins.platform import PlatformFaults, make_platform
+from baobabstandins.platform import PlatformFaults, create_platform
 
 FLAGS = flags.FLAGS
 flags.DEFINE_string("host", "127.0.0.1", "IP number to listen on")
@@ -27,9 +27,9 @@
     faults = PlatformFaults(
         retention_ms=FLAGS.retention_s * 1000, appends_per_s=FLAGS.appends_per_s
     )
-    platform = make_platform(faults, FLAGS.list_lag_ms, FLAGS.list_expiry_ms)
+    platform = create_platform(faults, FLAGS.list_lag_ms, FLAGS.list_expiry_ms)
     runner, port = await start_site(
-        platform.make_app(), FLAGS.host, FLAGS.port, cancel_on_disconnect=False
+        platform.create_app(), FLAGS.host, FLAGS.port, cancel_on_disconnect=False
     )
     print(f"listening {FLAGS.host}:{port}", flush=True)
     await wait_for_stop_signal()
--- a/packages/baobabstandins/baobabstandins/platform/_log.py
+++ b/packages/baobabstandins/baobabstandins/platform/_log.py
@@ -57,11 +57,11 @@
         stop = min(len(stream.records), start + limit)
         return [stream.records[index] for index in range(start, stop)]
 
-    def earliest_offset(self, stream_name: str) -> int:
+    def get_earliest_offset(self, stream_name: str) -> int:
         """Return the offset of the first retained record, or the next offset."""
         return self._streams[stream_name].earliest_offset
 
-    def next_offset(self, stream_name: str) -> int:
+    def get_next_offset(self, stream_name: str) -> int:
         """Return the offset of the next record."""
         return self._streams[stream_name].next_offset
 
--- a/packages/baobabstandins/baobabstandins/platform/_server.py
+++ b/packages/baobabstandins/baobabstandins/platform/_server.py
@@ -59,7 +59,7 @@
         self._appended = asyncio.Event()
         self._frozen_entries: list[InstanceEntry] = []
 
-    def make_app(self) -> web.Application:
+    def create_app(self) -> web.Application:
         """Return the aiohttp application."""
         app = web.Application(
             middlewares=[self._drop_cut_requests], client_max_size=MAX_BODY_BYTES
@@ -118,8 +118,8 @@
         self.log.expire(time.time() - self.faults.retention_ms / 1000)
         records = self.log.read(stream, from_offset, limit)
         reply = _PageReply(
-            self.log.earliest_offset(stream),
-            self.log.next_offset(stream),
+            self.log.get_earliest_offset(stream),
+            self.log.get_next_offset(stream),
             [_create_record_reply(record) for record in records],
         )
         return _json_response(reply)
@@ -129,7 +129,9 @@
     ) -> None:
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + wait_ms / 1000
-        while not self.faults.outage and self.log.next_offset(stream) <= from_offset:
+        while (
+            not self.faults.outage and self.log.get_next_offset(stream) <= from_offset
+        ):
             time_left_s = deadline_s - loop.time()
             if time_left_s <= 0:
                 return
@@ -179,7 +181,7 @@
         self._appended = asyncio.Event()
 
 
-def make_platform(
+def create_platform(
     faults: PlatformFaults, list_lag_ms: float, list_expiry_ms: float
 ) -> PlatformServer:
     """Return a platform stand-in without records and instances."""
--- a/packages/baobabstandins/baobabstandins/platform/tests/test_log.py
+++ b/packages/baobabstandins/baobabstandins/platform/tests/test_log.py
@@ -6,7 +6,7 @@
     log.append("config", b"a", now_s=1.0)
     log.append("config", b"b", now_s=2.0)
     log.expire(before_s=1.5)
-    assert log.earliest_offset("config") == 1
+    assert log.get_earliest_offset("config") == 1
     assert [record.payload for record in log.read("config", 0, 10)] == [b"b"]
 
 
--- a/packages/baobabstandins/baobabstandins/platform/tests/test_server.py
+++ b/packages/baobabstandins/baobabstandins/platform/tests/test_server.py
@@ -6,14 +6,14 @@
 import pytest_asyncio
 
 from baobabstandins._serving import start_site
-from baobabstandins.platform import PlatformFaults, make_platform
+from baobabstandins.platform import PlatformFaults, create_platform
 
 
 @pytest_asyncio.fixture
 async def platform():
-    server = make_platform(PlatformFaults(), list_lag_ms=0, list_expiry_ms=5000)
+    server = create_platform(PlatformFaults(), list_lag_ms=0, list_expiry_ms=5000)
     runner, port = await start_site(
-        server.make_app(), "127.0.0.1", 0, cancel_on_disconnect=False
+        server.create_app(), "127.0.0.1", 0, cancel_on_disconnect=False
     )
     async with aiohttp.ClientSession(f"http://127.0.0.1:{port}") as session:
         yield session
--- a/packages/baobabstandins/baobabstandins/scenarios/_actions.py
+++ b/packages/baobabstandins/baobabstandins/scenarios/_actions.py
@@ -38,7 +38,7 @@
 async def _(action: model.PauseInstance, run: ScenarioRun) -> None:
     member = run.get_instance(action.number)
     run.fleet.pause(member)
-    await asyncio.sleep(action.for_s)
+    await asyncio.sleep(action.duration_s)
     run.fleet.resume(member)
 
 
@@ -46,7 +46,7 @@
 async def _(action: model.CutInstance, run: ScenarioRun) -> None:
     member = run.get_instance(action.number)
     await _put_platform(run, cut_instances=[member.instance_id])
-    await asyncio.sleep(action.for_s)
+    await asyncio.sleep(action.duration_s)
     await _put_platform(run, cut_instances=[])
 
 
@@ -57,27 +57,27 @@
 
 @run_action.register
 async def _(action: model.SetRetention, run: ScenarioRun) -> None:
-    await _put_platform(run, retention_ms=action.for_s * MS_PER_S)
+    await _put_platform(run, retention_ms=action.retention_s * MS_PER_S)
 
 
 @run_action.register
 async def _(action: model.LogOutage, run: ScenarioRun) -> None:
     await _put_platform(run, outage=True)
-    await asyncio.sleep(action.for_s)
+    await asyncio.sleep(action.duration_s)
     await _put_platform(run, outage=False)
 
 
 @run_action.register
 async def _(action: model.SlowPlatform, run: ScenarioRun) -> None:
     await _put_platform(run, delay_ms=action.delay_s * MS_PER_S)
-    await asyncio.sleep(action.for_s)
+    await asyncio.sleep(action.duration_s)
     await _put_platform(run, delay_ms=0.0)
 
 
 @run_action.register
 async def _(action: model.FreezeList, run: ScenarioRun) -> None:
     await _put_platform(run, list_frozen=True)
-    await asyncio.sleep(action.for_s)
+    await asyncio.sleep(action.duration_s)
     await _put_platform(run, list_frozen=False)
 
 
@@ -112,13 +112,13 @@
 @run_action.register
 async def _(action: model.FailFast, run: ScenarioRun) -> None:
     await _put_target(run, action.target_id, fail_fast=True)
-    await asyncio.sleep(action.for_s)
+    await asyncio.sleep(action.duration_s)
     await _put_target(run, action.target_id, fail_fast=False)
 
 
 @run_action.register
 async def _(action: model.SlowTarget, run: ScenarioRun) -> None:
-    until_s = time.time() + action.for_s
+    until_s = time.time() + action.duration_s
     await _put_target(
         run, action.target_id, slow_factor=action.factor, slow_until_s=until_s
     )
@@ -127,14 +127,14 @@
 @run_action.register
 async def _(action: model.ShedAll, run: ScenarioRun) -> None:
     await _put_target(run, action.target_id, draining=True)
-    await asyncio.sleep(action.for_s)
+    await asyncio.sleep(action.duration_s)
     await _put_target(run, action.target_id, draining=False)
 
 
 @run_action.register
 async def _(action: model.ReportNoLoad, run: ScenarioRun) -> None:
     await _put_target(run, action.target_id, lying=True)
-    await asyncio.sleep(action.for_s)
+    await asyncio.sleep(action.duration_s)
     await _put_target(run, action.target_id, lying=False)
 
 
--- a/packages/baobabstandins/baobabstandins/scenarios/_expectations.py
+++ b/packages/baobabstandins/baobabstandins/scenarios/_expectations.py
@@ -43,8 +43,8 @@
 
 @check_expectation.register
 def _(expectation: expectation_types.NoCallLost, run: ScenarioRun) -> list[Finding]:
-    disturbed = (m.instance_id for m in run.fleet.instances if m.disturbed)
-    return checker.check_no_call_lost(run.caller.history, frozenset(disturbed))
+    disturbed_ids = (m.instance_id for m in run.fleet.instances if m.is_disturbed)
+    return checker.check_no_call_lost(run.caller.history, frozenset(disturbed_ids))
 
 
 @check_expectation.register
@@ -103,13 +103,13 @@
 def _(
     expectation: expectation_types.ConfigurationApplied, run: ScenarioRun
 ) -> list[Finding]:
-    seen_configurations = run.operator.seen_configurations
+    observed_configurations = run.operator.observed_configurations
     accepted_changes = run.operator.accepted_changes
     return [
         *checker.check_no_conflicting_changes(accepted_changes),
-        *checker.check_configuration_never_reverts(seen_configurations),
+        *checker.check_configuration_never_reverts(observed_configurations),
         *checker.check_configuration_applied(
-            seen_configurations, accepted_changes, expectation.grace_s
+            observed_configurations, accepted_changes, expectation.grace_s
         ),
     ]
 
--- a/packages/baobabstandins/baobabstandins/scenarios/_generator.py
+++ b/packages/baobabstandins/baobabstandins/scenarios/_generator.py
@@ -73,7 +73,7 @@
 
 
 def _draw_instance_fault(rng: random.Random, number: int) -> object:
-    """Draw a fault of an instance that may end it.
+    """Draw a fault of an instance, which may make it exit.
 
     Only instances 1 and 2 get such faults, so that 3 and 4 keep running.
     """
@@ -87,19 +87,19 @@
 
 
 def _draw_fault(rng: random.Random) -> object:
-    for_s = rng.uniform(*FAULT_DURATION_RANGE_S)
+    duration_s = rng.uniform(*FAULT_DURATION_RANGE_S)
     service = rng.choice(("orders", "menu"))
     target_id = f"{service}-{rng.randint(1, TARGET_COUNT)}"
     choices = (
         model.LoseAppendResponses(rng.randint(1, 10)),
-        model.LogOutage(for_s),
-        model.SlowPlatform(rng.uniform(0.05, 0.5), for_s),
-        model.FreezeList(for_s),
-        model.PauseInstance(rng.randint(3, 4), for_s),
-        model.FailFast(target_id, for_s),
-        model.SlowTarget(target_id, rng.uniform(2.0, 20.0), for_s),
-        model.ShedAll(target_id, for_s),
-        model.ReportNoLoad(target_id, for_s),
+        model.LogOutage(duration_s),
+        model.SlowPlatform(rng.uniform(0.05, 0.5), duration_s),
+        model.FreezeList(duration_s),
+        model.PauseInstance(rng.randint(3, 4), duration_s),
+        model.FailFast(target_id, duration_s),
+        model.SlowTarget(target_id, rng.uniform(2.0, 20.0), duration_s),
+        model.ShedAll(target_id, duration_s),
+        model.ReportNoLoad(target_id, duration_s),
         model.SilenceConnections(target_id),
         model.ResetAfterRun(target_id, rng.randint(1, 5)),
         model.CloseBeforeRun(target_id, rng.randint(1, 5)),
--- a/packages/baobabstandins/baobabstandins/scenarios/_model.py
+++ b/packages/baobabstandins/baobabstandins/scenarios/_model.py
@@ -63,7 +63,7 @@
     duplicate_percent: float = 0.0
     tenant: str = "default"
     deadline_ms: int = 3000
-    key_sent: bool = True
+    send_key: bool = True
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,7 +85,7 @@
     """Pause an instance for a while."""
 
     number: int
-    for_s: float
+    duration_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,7 +93,7 @@
     """Drop the requests of an instance to the platform for a while."""
 
     number: int
-    for_s: float
+    duration_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,14 +107,14 @@
 class SetRetention:
     """Set the retention of the log."""
 
-    for_s: float
+    retention_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class LogOutage:
     """Make the log unavailable for a while."""
 
-    for_s: float
+    duration_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,14 +122,14 @@
     """Delay the responses of the log for a while."""
 
     delay_s: float
-    for_s: float
+    duration_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class FreezeList:
     """Stop updating the list of instances for a while."""
 
-    for_s: float
+    duration_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -167,7 +167,7 @@
     """Make a target respond with 500 immediately for a while."""
 
     target_id: str
-    for_s: float
+    duration_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -176,7 +176,7 @@
 
     target_id: str
     factor: float
-    for_s: float
+    duration_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -184,7 +184,7 @@
     """Make a target shed all calls for a while."""
 
     target_id: str
-    for_s: float
+    duration_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -192,7 +192,7 @@
     """Make a target report no load for a while."""
 
     target_id: str
-    for_s: float
+    duration_s: float
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/baobabstandins/baobabstandins/scenarios/_parser.py
+++ b/packages/baobabstandins/baobabstandins/scenarios/_parser.py
@@ -25,13 +25,13 @@
     return _ModelBuilder().transform(_PARSER.parse(text))
 
 
-def _make_parser() -> Lark:
+def _create_parser() -> Lark:
     package = resources.files("baobabstandins.scenarios")
     grammar = package.joinpath("grammar.lark").read_text()
     return Lark(grammar, parser="lalr", maybe_placeholders=True)
 
 
-_PARSER = _make_parser()
+_PARSER = _create_parser()
 
 
 def _identity(self, value):
@@ -125,7 +125,7 @@
         return "duplicate_percent", percent
 
     def without_key(self):
-        return "key_sent", False
+        return "send_key", False
 
     def tenant(self, name):
         return "tenant", name
--- a/packages/baobabstandins/baobabstandins/scenarios/_runner.py
+++ b/packages/baobabstandins/baobabstandins/scenarios/_runner.py
@@ -8,7 +8,13 @@
 from pathlib import Path
 
 from baobabstandins.checker import Finding, TargetRecord
-from baobabstandins.fleet import Fleet, HistoryCaller, Operator, TargetMember, make_call
+from baobabstandins.fleet import (
+    Fleet,
+    HistoryCaller,
+    Operator,
+    TargetMember,
+    create_call,
+)
 from baobabstandins.scenarios import _model as model
 from baobabstandins.scenarios._actions import run_action
 from baobabstandins.scenarios._expectations import check_expectation
@@ -26,8 +32,8 @@
     Settings, logs and the history of the run are written to `directory`.
     """
     async with Fleet(directory, _build_settings(scenario)) as fleet:
-        operator = Operator(fleet.rotation)
-        async with HistoryCaller(fleet.rotation, scenario.seed) as caller:
+        operator = Operator(fleet.get_rotation)
+        async with HistoryCaller(fleet.get_rotation, scenario.seed) as caller:
             rng = random.Random(scenario.seed)
             run = ScenarioRun(scenario, fleet, operator, caller, rng)
             findings = await _execute(run)
@@ -55,7 +61,7 @@
 
 async def _run_loads_and_events(run: ScenarioRun) -> None:
     """Send the loads while the events are carried out."""
-    sampling = asyncio.create_task(run.operator.sample_forever())
+    sampling = asyncio.create_task(run.operator.run_sampling())
     try:
         async with asyncio.TaskGroup() as tasks:
             for load in run.scenario.loads:
@@ -74,7 +80,7 @@
         Finding("instances stay up", member.instance_id, "exited unexpectedly")
         for member in run.fleet.instances
         if not member.child.is_running
-        and not member.killed
+        and not member.is_killed
         and member not in run.terminated
     ]
 
@@ -101,16 +107,16 @@
 
 async def _send_call(load: model.Load, run: ScenarioRun) -> None:
     service = run.services[load.service_id]
-    call = make_call(
+    call = create_call(
         service.prefix,
         idempotent=service.key_rule == "none",
-        key_sent=load.key_sent,
+        send_key=load.send_key,
         tenant=load.tenant,
         deadline_ms=load.deadline_ms,
     )
     drawn_percent = run.rng.uniform(0.0, 100.0)
     if drawn_percent < load.duplicate_percent:
-        await run.caller.call_twice_at_once(call, load.repeats)
+        await run.caller.call_concurrently(call, load.repeats)
         return
     disconnects = drawn_percent < load.duplicate_percent + load.disconnect_percent
     await run.caller.call(call, load.repeats, disconnects=disconnects)
@@ -129,8 +135,8 @@
 
 
 async def _collect_record(run: ScenarioRun, member: TargetMember) -> TargetRecord:
-    entries = await run.fleet.journal(member)
-    counters = await run.fleet.counters(member)
+    entries = await run.fleet.get_journal(member)
+    counters = await run.fleet.get_counters(member)
     return TargetRecord(
         member.target_id, member.zone, member.slots, tuple(entries), counters
     )
@@ -147,7 +153,7 @@
     events = [
         *run.caller.history,
         *run.operator.accepted_changes,
-        *run.operator.seen_configurations,
+        *run.operator.observed_configurations,
     ]
     lines = [f"{event}\n" for event in events]
     lines += [f"{r.target_id} {entry}\n" for r in run.records for entry in r.entries]
--- a/packages/baobabstandins/baobabstandins/soak/_checks.py
+++ b/packages/baobabstandins/baobabstandins/soak/_checks.py
@@ -86,7 +86,7 @@
         yield Finding("every call gets a response", call.call_id, problem)
     took_s = call.ended_at_s - call.sent_at_s
     if took_s > DEADLINE_MS / 1_000 + RESPONSE_TIME_MARGIN_S:
-        yield Finding("answer in time", call.call_id, f"took {took_s:.2f} s")
+        yield Finding("response in time", call.call_id, f"took {took_s:.2f} s")
 
 
 def _check_recovery(history: History) -> list[Finding]:
--- a/packages/baobabstandins/baobabstandins/soak/_faults.py
+++ b/packages/baobabstandins/baobabstandins/soak/_faults.py
@@ -29,7 +29,7 @@
     def __init__(self, fleet: SoakFleet) -> None:
         self.fleet = fleet
         self.disturbances: list[Disturbance] = []
-        self._restarting: set[int] = set()
+        self._disturbed_instances: set[int] = set()
 
     async def run(self, plan: tuple[Fault, ...]) -> None:
         """Inject the faults of a plan until the last one has ended."""
@@ -49,7 +49,7 @@
         elif kind.startswith("instance"):
             await self._disturb_instance(fault, duration_s)
         else:
-            await self._disturb_all(fault, duration_s)
+            await self._disturb_fleet(fault, duration_s)
 
     async def _disturb_store(self, fault: Fault, duration_s: float) -> None:
         store = self.fleet.store
@@ -102,7 +102,7 @@
 
     async def _disturb_instance(self, fault: Fault, duration_s: float) -> None:
         number = fault.selector % len(self.fleet.instances)
-        if number in self._restarting:
+        if number in self._disturbed_instances:
             return
         match fault.kind:
             case FaultKind.INSTANCE_KILLED:
@@ -112,16 +112,18 @@
             case FaultKind.INSTANCE_PAUSED:
                 await self._pause(number, duration_s)
 
-    async def _disturb_all(self, fault: Fault, duration_s: float) -> None:
+    async def _disturb_fleet(self, fault: Fault, duration_s: float) -> None:
         match fault.kind:
             case FaultKind.ALL_KILLED:
-                available = set(range(len(self.fleet.instances))) - self._restarting
+                available = (
+                    set(range(len(self.fleet.instances))) - self._disturbed_instances
+                )
                 await asyncio.gather(
                     *(self._restart(n, signal.SIGKILL) for n in available)
                 )
             case FaultKind.CLOCK_JUMP:
                 number = fault.selector % len(self.fleet.instances)
-                if number not in self._restarting:
+                if number not in self._disturbed_instances:
                     self.fleet.instances[number].send_signal(signal.SIGUSR1)
             case FaultKind.CONFIGURATION:
                 self.fleet.publish([MENU_RULE, FEES_RULE], list(SERVICES))
@@ -130,13 +132,13 @@
                 if self.fleet.zones_out:
                     return
                 self.fleet.zones_out.add(zone)
-                self.fleet.take_zone_out(zone)
+                self.fleet.set_zone_out(zone)
                 await asyncio.sleep(duration_s)
-                self.fleet.take_zone_in(zone)
+                self.fleet.set_zone_in(zone)
                 self.fleet.zones_out.discard(zone)
 
     async def _restart(self, number: int, stop_signal: signal.Signals) -> None:
-        self._restarting.add(number)
+        self._disturbed_instances.add(number)
         from_s = time.time()
         instance = self.fleet.instances[number]
         instance.send_signal(stop_signal)
@@ -144,17 +146,17 @@
         while not await self.fleet.is_ready(instance):
             await asyncio.sleep(0.05)
         self._record_disturbance(number, from_s)
-        self._restarting.discard(number)
+        self._disturbed_instances.discard(number)
 
     async def _pause(self, number: int, duration_s: float) -> None:
-        self._restarting.add(number)
+        self._disturbed_instances.add(number)
         from_s = time.time()
         instance = self.fleet.instances[number]
         instance.send_signal(signal.SIGSTOP)
         await asyncio.sleep(duration_s)
         instance.send_signal(signal.SIGCONT)
         self._record_disturbance(number, from_s)
-        self._restarting.discard(number)
+        self._disturbed_instances.discard(number)
 
     def _record_disturbance(self, number: int, from_s: float) -> None:
         to_s = time.time() + DISTURBANCE_MARGIN_S
--- a/packages/baobabstandins/baobabstandins/soak/_run.py
+++ b/packages/baobabstandins/baobabstandins/soak/_run.py
@@ -59,7 +59,11 @@
     findings = []
     for instance in fleet.instances:
         if not instance.is_running:
-            findings.append(Finding("stays up", instance.name, "exited unexpectedly"))
+            findings.append(
+                Finding("instances stay up", instance.name, "exited unexpectedly")
+            )
         for line in instance.read_unhandled_errors():
-            findings.append(Finding("no errors", instance.name, line["event"]))
+            findings.append(
+                Finding("no unhandled errors", instance.name, line["event"])
+            )
     return findings
--- a/packages/baobabstandins/baobabstandins/soak/tests/test_checks.py
+++ b/packages/baobabstandins/baobabstandins/soak/tests/test_checks.py
@@ -40,7 +40,7 @@
         (change_call(status=503), [RUN], "not run is true"),
         (change_call(status=None), [RUN], "every call gets a response"),
         (change_call(status=None, connected=False), [], "every call gets a response"),
-        (change_call(ended_at_s=12.5), [RUN], "answer in time"),
+        (change_call(ended_at_s=12.5), [RUN], "response in time"),
     ],
 )
 def test_violation_is_found(call, runs, invariant):
--- a/packages/baobabstandins/baobabstandins/soak/tests/test_soak.py
+++ b/packages/baobabstandins/baobabstandins/soak/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Run the soak test for a short time. Seeds that ever failed belong here too."""
+"""Run the soak test for a short time. Add seeds that have failed."""
 
 from baobabstandins.soak import run_soak
 
--- a/packages/baobabstandins/baobabstandins/target/__init__.py
+++ b/packages/baobabstandins/baobabstandins/target/__init__.py
@@ -7,19 +7,19 @@
     check_response,
     create_response_body,
 )
-from baobabstandins.target._server import TargetServer, make_target
+from baobabstandins.target._server import TargetServer, create_target
 from baobabstandins.target._settings import TargetSettings, parse_specs
 
 __all__ = [
-    "ResponseBody",
     "Counters",
     "Journal",
     "JournalEntry",
+    "ResponseBody",
     "TargetFaults",
     "TargetServer",
     "TargetSettings",
-    "create_response_body",
     "check_response",
-    "make_target",
+    "create_response_body",
+    "create_target",
     "parse_specs",
 ]
--- a/packages/baobabstandins/baobabstandins/target/__main__.py
+++ b/packages/baobabstandins/baobabstandins/target/__main__.py
@@ -6,7 +6,7 @@
 from absl import app, flags
 
 from baobabstandins._serving import start_site, wait_for_stop_signal
-from baobabstandins.target import TargetSettings, make_target, parse_specs
+from baobabstandins.target import TargetSettings, create_target, parse_specs
 
 FLAGS = flags.FLAGS
 flags.DEFINE_string("host", "127.0.0.1", "IP number to listen on")
@@ -64,9 +64,9 @@
     """Serve all targets until SIGTERM or SIGINT arrives."""
     runners = []
     for settings in all_settings:
-        target = make_target(settings)
+        target = create_target(settings)
         runner, port = await start_site(
-            target.make_app(), FLAGS.host, settings.port, cancel_on_disconnect=True
+            target.create_app(), FLAGS.host, settings.port, cancel_on_disconnect=True
         )
         runners.append(runner)
         print(f"listening {FLAGS.host}:{port} {settings.target_id}", flush=True)
--- a/packages/baobabstandins/baobabstandins/target/_response.py
+++ b/packages/baobabstandins/baobabstandins/target/_response.py
@@ -16,7 +16,7 @@
     digest: str
 
 
-def body_digest(body: bytes) -> str:
+def compute_body_digest(body: bytes) -> str:
     """Return the digest of a request body."""
     return hashlib.sha256(body).hexdigest()
 
@@ -26,7 +26,7 @@
 ) -> bytes:
     """Return the response body for a request; `path` includes the query."""
     without_digest = ResponseBody(
-        method, path, request_id, body_digest(body), "x" * padding_bytes, ""
+        method, path, request_id, compute_body_digest(body), "x" * padding_bytes, ""
     )
     response = msgspec.structs.replace(
         without_digest, digest=_compute_digest(without_digest)
@@ -34,15 +34,17 @@
     return msgspec.json.encode(response)
 
 
-def check_response(response: bytes, method: str, path: str, body: bytes) -> str | None:
+def check_response(
+    response_body: bytes, method: str, path: str, body: bytes
+) -> str | None:
     """Return the problem with the response body for a request, or None."""
     try:
-        decoded = msgspec.json.decode(response, type=ResponseBody)
+        decoded = msgspec.json.decode(response_body, type=ResponseBody)
     except msgspec.DecodeError as error:
         return f"response body is incomplete: {error}"
     if decoded.digest != _compute_digest(msgspec.structs.replace(decoded, digest="")):
         return "response body does not match its digest"
-    sent = (method, path, body_digest(body))
+    sent = (method, path, compute_body_digest(body))
     echoed = (decoded.method, decoded.path, decoded.body_digest)
     if sent != echoed:
         return f"response is for request {echoed}, not for {sent}"
--- a/packages/baobabstandins/baobabstandins/target/_server.py
+++ b/packages/baobabstandins/baobabstandins/target/_server.py
@@ -13,7 +13,7 @@
 from baobabstandins.target._cold_start import ColdStart
 from baobabstandins.target._faults import TargetFaults
 from baobabstandins.target._journal import Counters, Journal, JournalEntry
-from baobabstandins.target._response import body_digest, create_response_body
+from baobabstandins.target._response import compute_body_digest, create_response_body
 from baobabstandins.target._settings import TargetSettings
 from baobabstandins.target._slots import Slots
 
@@ -41,7 +41,7 @@
         self._connections: set[object] = set()
         self._silenced_connections: set[object] = set()
 
-    def make_app(self) -> web.Application:
+    def create_app(self) -> web.Application:
         """Return the aiohttp application."""
         if self.settings.cold_at_start:
             self._cold_start.begin(time.time())
@@ -202,7 +202,7 @@
         )
 
 
-def make_target(settings: TargetSettings) -> TargetServer:
+def create_target(settings: TargetSettings) -> TargetServer:
     """Return a target stand-in with an empty journal."""
     return TargetServer(settings)
 
@@ -219,7 +219,7 @@
         method=request.method,
         path=request.path_qs,
         tenant=request.headers.get("Baobab-Tenant", ""),
-        body_digest=body_digest(body),
+        body_digest=compute_body_digest(body),
         started_at_s=time.time(),
     )
 
--- a/packages/baobabstandins/baobabstandins/target/tests/test_server.py
+++ b/packages/baobabstandins/baobabstandins/target/tests/test_server.py
@@ -5,16 +5,16 @@
 import pytest
 
 from baobabstandins._serving import start_site
-from baobabstandins.target import TargetSettings, check_response, make_target
+from baobabstandins.target import TargetSettings, check_response, create_target
 
 SLOW_MS = 60_000.0
 
 
 @asynccontextmanager
 async def run_target(**settings):
-    server = make_target(TargetSettings("t", service_sigma=0.0, **settings))
+    server = create_target(TargetSettings("t", service_sigma=0.0, **settings))
     runner, port = await start_site(
-        server.make_app(), "127.0.0.1", 0, cancel_on_disconnect=True
+        server.create_app(), "127.0.0.1", 0, cancel_on_disconnect=True
     )
     async with aiohttp.ClientSession(f"http://127.0.0.1:{port}") as session:
         yield server, session
--- a/packages/baobabstandins/baobabstandins/usersplatform/_fleet.py
+++ b/packages/baobabstandins/baobabstandins/usersplatform/_fleet.py
@@ -1,4 +1,4 @@
-"""Fleet of real entry processes on stand-ins for the users' platform."""
+"""Fleet of entry processes that uses stand-ins for the users' platform."""
 
 import asyncio
 import contextlib
@@ -107,13 +107,13 @@
     """Manage a store, targets and entry instances, all on loopback addresses."""
 
     def __init__(
-        self, directory: Path, instances: int, program: str = ENTRY_PROGRAM
+        self, directory: Path, instance_count: int, program: str = ENTRY_PROGRAM
     ) -> None:
         self.store = StandinStore()
         self.targets: list[StandinTarget] = []
         self.instances: list[EntryProcess] = []
         self._directory = directory
-        self._instance_count = instances
+        self._instance_count = instance_count
         self._program = program
         self._version = 0
         # Gives fleets of tests that run in parallel different addresses.
@@ -157,11 +157,11 @@
         self.store.put(OPERATOR_TOPIC, "config", json.dumps(value).encode())
         return self._version
 
-    def take_zone_out(self, zone: str) -> None:
+    def set_zone_out(self, zone: str) -> None:
         """Request that the targets of an availability zone get no new calls."""
         self.store.put(OPERATOR_TOPIC, f"evacuate/{zone}", b"{}")
 
-    def take_zone_in(self, zone: str) -> None:
+    def set_zone_in(self, zone: str) -> None:
         """Allow new calls to the targets of an availability zone again."""
         self.store.put(OPERATOR_TOPIC, f"evacuate/{zone}", b"")
 
--- a/packages/baobabstandins/baobabstandins/usersplatform/_store.py
+++ b/packages/baobabstandins/baobabstandins/usersplatform/_store.py
@@ -32,7 +32,7 @@
         self.down = False
         self.silent_topics: set[str] = set()
         self.expired_topics: set[str] = set()
-        self.calls: list[tuple[str, str]] = []
+        self.requests: list[tuple[str, str]] = []
         self.address = ""
         self._topics: dict[str, list[_Record]] = {}
         self._runner: web.AppRunner | None = None
@@ -60,7 +60,7 @@
 
     async def _apply_faults(self, request: web.Request) -> web.Response | None:
         topic = request.query["topic"]
-        self.calls.append((request.path, topic))
+        self.requests.append((request.path, topic))
         while topic in self.silent_topics:
             await asyncio.sleep(POLL_INTERVAL_S)
         return web.Response(status=503) if self.down else None
--- a/packages/baobabstandins/baobabstandins/usersplatform/tests/test_entry_fleet.py
+++ b/packages/baobabstandins/baobabstandins/usersplatform/tests/test_entry_fleet.py
@@ -1,4 +1,4 @@
-"""Test real entry processes on stand-ins for the users' platform."""
+"""Test entry processes with stand-ins for the users' platform."""
 
 import asyncio
 import signal
@@ -23,7 +23,7 @@
 @pytest.fixture
 async def fleet(tmp_path):
     """Return a running fleet with three instances and three targets per service."""
-    async with EntryFleet(tmp_path, instances=3) as fleet:
+    async with EntryFleet(tmp_path, instance_count=3) as fleet:
         for number in range(3):
             await fleet.add_target(StandinTarget(f"i-m{number}", "menuboard"))
             await fleet.add_target(StandinTarget(f"i-f{number}", "feedesk"))
@@ -164,7 +164,7 @@
     south_target = await fleet.add_target(
         StandinTarget("i-m9", "menuboard", zone="south")
     )
-    fleet.take_zone_out("south")
+    fleet.set_zone_out("south")
     requested_at_s = time.time()
     async with aiohttp.ClientSession() as session:
         while time.time() < requested_at_s + 3.5:
@@ -297,23 +297,23 @@
 
 async def test_few_instances_read_the_store(fleet):
     await asyncio.sleep(1.0)
-    before = len(fleet.store.calls)
+    before = len(fleet.store.requests)
     await asyncio.sleep(4.0)
     # One reader reads registrations every 0.7 s and operator records every 1.5 s.
-    assert len(fleet.store.calls) - before <= 12
+    assert len(fleet.store.requests) - before <= 12
 
 
 async def test_new_reader_reads_only_new_records(fleet):
     await asyncio.sleep(1.0)
     reader = max(fleet.instances, key=get_reader_since_s)
-    before = len(fleet.store.calls)
+    before = len(fleet.store.requests)
     reader.send_signal(signal.SIGSTOP)
     await asyncio.sleep(1.6)
     reader.send_signal(signal.SIGCONT)
     await asyncio.sleep(1.0)
-    calls = fleet.store.calls[before:]
-    topics = [topic for path, topic in calls if path == "/log-newest"]
-    assert ("/log-read", "keyed.servers") in calls
+    requests = fleet.store.requests[before:]
+    topics = [topic for path, topic in requests if path == "/log-newest"]
+    assert ("/log-read", "keyed.servers") in requests
     assert not {"keyed.op", "keyed.servers"} & set(topics)
 
 
--- a/scenarios/test_strangers.py
+++ b/scenarios/test_invalid_input.py
@@ -21,7 +21,7 @@
     Operator,
     PlatformOptions,
     TargetOptions,
-    make_call,
+    create_call,
     put_service,
 )
 
@@ -86,7 +86,7 @@
         await fleet.start_platform(PlatformOptions())
         targets = await fleet.start_targets("orders", 2, "sapporo", TargetOptions())
         await fleet.start_instances(2, "sapporo")
-        operator = Operator(fleet.rotation)
+        operator = Operator(fleet.get_rotation)
         change = put_service("orders", "/orders", "required", 1, targets)
         revision = await operator.publish(change)
         await operator.wait_until_applied(revision)
@@ -96,11 +96,11 @@
             await send_invalid_requests(member.caller_address)
         # A new instance reads the invalid records from the start of the log.
         await fleet.start_instances(1, "sapporo")
-        async with HistoryCaller(fleet.rotation, seed=1) as caller:
-            calls = [make_call("/orders", idempotent=False) for _ in range(30)]
+        async with HistoryCaller(fleet.get_rotation, seed=1) as caller:
+            calls = [create_call("/orders", idempotent=False) for _ in range(30)]
             await asyncio.gather(*(caller.call(call, repeats=2) for call in calls))
-            ended = [getattr(event, "outcome", None) for event in caller.history]
-        assert ended.count("completed") == len(calls)
+            outcomes = [getattr(event, "outcome", None) for event in caller.history]
+        assert outcomes.count("completed") == len(calls)
         assert find_failure_logs(fleet) == []
         await operator.wait_until_applied(revision)
 
@@ -134,7 +134,7 @@
         await fleet.start_platform(PlatformOptions())
         targets = await fleet.start_targets("orders", 2, "sapporo", TargetOptions())
         await fleet.start_instances(2, "sapporo")
-        operator = Operator(fleet.rotation)
+        operator = Operator(fleet.get_rotation)
         change = put_service("orders", "/orders", "required", 1, targets)
         await operator.wait_until_applied(await operator.publish(change))
         for member in fleet.instances:
@@ -143,12 +143,12 @@
                 socket.connect(f"tcp://{member.peer_address}")
                 socket.send(encode_message(message))
         # Later calls are served as usual.
-        async with HistoryCaller(fleet.rotation, seed=1) as caller:
-            calls = [make_call("/orders", idempotent=False) for _ in range(40)]
+        async with HistoryCaller(fleet.get_rotation, seed=1) as caller:
+            calls = [create_call("/orders", idempotent=False) for _ in range(40)]
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(CALLS_TIMEOUT_S):
                     for call in calls:
                         await caller.call(call, repeats=2)
-            ended = [getattr(event, "outcome", None) for event in caller.history]
+            outcomes = [getattr(event, "outcome", None) for event in caller.history]
         assert find_failure_logs(fleet) == []
-        assert ended.count("completed") == len(calls)
+        assert outcomes.count("completed") == len(calls)
--- a/scenarios/test_keys.py
+++ b/scenarios/test_keys.py
@@ -9,7 +9,7 @@
     Operator,
     PlatformOptions,
     TargetOptions,
-    make_call,
+    create_call,
     put_service,
 )
 
@@ -27,30 +27,30 @@
     await fleet.start_platform(PlatformOptions())
     targets = await fleet.start_targets("orders", 2, "sapporo", TargetOptions())
     await fleet.start_instances(2, "sapporo")
-    operator = Operator(fleet.rotation)
+    operator = Operator(fleet.get_rotation)
     change = put_service("orders", "/orders", "required", 1, targets)
     await operator.wait_until_applied(await operator.publish(change))
 
 
 async def get_executed_paths(fleet: Fleet) -> list[str]:
-    journals = [await fleet.journal(target) for target in fleet.targets.values()]
+    journals = [await fleet.get_journal(target) for target in fleet.targets.values()]
     return [entry.path for journal in journals for entry in journal]
 
 
 async def test_reused_and_expired_keys_are_refused(tmp_path):
     async with Fleet(tmp_path) as fleet:
         await start_orders_service(fleet)
-        async with HistoryCaller(fleet.rotation, seed=1) as caller:
-            first = make_call("/orders", idempotent=False)
-            other = replace(make_call("/orders", idempotent=False), key=first.key)
+        async with HistoryCaller(fleet.get_rotation, seed=1) as caller:
+            first = create_call("/orders", idempotent=False)
+            other = replace(create_call("/orders", idempotent=False), key=first.key)
             foreign = replace(first, tenant="another")
             old = replace(
-                make_call("/orders", idempotent=False), key=make_expired_key()
+                create_call("/orders", idempotent=False), key=make_expired_key()
             )
             for call in (first, other, foreign, old):
                 await caller.call(call, repeats=0)
-            ended = [e for e in caller.history if hasattr(e, "outcome")]
-        assert [(e.outcome, e.reason) for e in ended] == [
+            returned = [e for e in caller.history if hasattr(e, "outcome")]
+        assert [(e.outcome, e.reason) for e in returned] == [
             ("completed", ""),
             ("not-run", "key-reused"),
             ("not-run", "key-reused"),
--- a/scenarios/test_leave_lag.py
+++ b/scenarios/test_shutdown_leave_lag.py
@@ -1,6 +1,7 @@
 """Keep sending calls to an instance that is shutting down.
 
-Load balancers notice the shutdown late, so the instance serves for the leave lag.
+Load balancers notice the shutdown late, so the instance still serves new calls for
+`leave_lag_ms`.
 """
 
 import time
@@ -11,7 +12,7 @@
     Operator,
     PlatformOptions,
     TargetOptions,
-    make_call,
+    create_call,
     put_service,
 )
 
@@ -25,19 +26,19 @@
         await fleet.start_platform(PlatformOptions())
         targets = await fleet.start_targets("menu", 2, "sapporo", TargetOptions())
         await fleet.start_instances(1, "sapporo")
-        operator = Operator(fleet.rotation)
+        operator = Operator(fleet.get_rotation)
         change = put_service("menu", "/menu", "none", 1, targets)
         await operator.wait_until_applied(await operator.publish(change))
-        leaving = fleet.instances[0]
-        async with HistoryCaller(lambda: [leaving], seed=1) as caller:
-            fleet.terminate(leaving)
+        stopping = fleet.instances[0]
+        async with HistoryCaller(lambda: [stopping], seed=1) as caller:
+            fleet.terminate(stopping)
             until_s = time.monotonic() + SEND_DURATION_S
             count = 0
             while time.monotonic() < until_s:
-                await caller.call(make_call("/menu", idempotent=True), repeats=0)
+                await caller.call(create_call("/menu", idempotent=True), repeats=0)
                 count += 1
-            ended = [getattr(event, "outcome", None) for event in caller.history]
-        assert not await fleet.is_ready(leaving)
-        await leaving.child.wait_for_exit()
-        assert ended.count("completed") == count
-        assert leaving.child.process.returncode == 0
+            outcomes = [getattr(event, "outcome", None) for event in caller.history]
+        assert not await fleet.is_ready(stopping)
+        await stopping.child.wait_for_exit()
+        assert outcomes.count("completed") == count
+        assert stopping.child.process.returncode == 0
--- a/scenarios/test_start_without_state.py
+++ b/scenarios/test_start_without_state.py
@@ -35,7 +35,7 @@
         await fleet.start_platform(PlatformOptions())
         targets = await fleet.start_targets("menu", 1, "sapporo", TargetOptions())
         await fleet.start_instances(1, "sapporo")
-        operator = Operator(fleet.rotation)
+        operator = Operator(fleet.get_rotation)
         change = put_service("menu", "/menu", "none", 1, targets)
         await operator.wait_until_applied(await operator.publish(change))
         fleet.kill(fleet.instances[0])
