--- a/packages/baobabring/baobabring/entry/_read_schedule.py
+++ b/packages/baobabring/baobabring/entry/_read_schedule.py
@@ -1,4 +1,4 @@
-"""Election of the instance that reads the store, and the times of its reads."""
+"""Times at which an instance reads the store, by its rank and its peers' reads."""
 
 from collections.abc import Collection
 
@@ -41,7 +41,7 @@
         self._first_read_not_before_s = now_s
 
     def set_instances(self, instance_ids: Collection[str]) -> None:
-        """Set the instances from which the reader is elected."""
+        """Set the known instances, and from them the rank that staggers own reads."""
         ordered = sorted({*instance_ids, self.instance_id}, key=reader_sort_key)
         self._rank = ordered.index(self.instance_id)
 
@@ -97,5 +97,5 @@
 
 
 def reader_sort_key(instance_id: str) -> int:
-    """Return the sort key that ranks instances in the election of the reader."""
+    """Return the sort key that ranks instances for reading; the lowest goes first."""
     return xxhash.xxh64_intdigest(instance_id.encode())
--- a/packages/baobabring/baobabring/platform/node_settings.py
+++ b/packages/baobabring/baobabring/platform/node_settings.py
@@ -23,7 +23,7 @@
 
 
 class InvalidNodeSettingsError(Exception):
-    """Raised for a settings file that is not valid, with all findings.
+    """Report that a settings file is not valid, with all findings.
 
     Parameters
     ----------
--- a/packages/baobabring/baobabring/platform/units.py
+++ b/packages/baobabring/baobabring/platform/units.py
@@ -7,7 +7,7 @@
 
 
 class InvalidValueError(ValueError):
-    """Raised for a value that does not have the platform's format."""
+    """Report that a value does not have the platform's format."""
 
 
 def parse_duration_ms(value: object) -> float:
